--- a/src/sidecar/cold_gate.cpp
+++ b/src/sidecar/cold_gate.cpp
@@ -5,7 +5,7 @@
 #include "sidecar/events.h"
 #include "sidecar/target_gate.h"
 
-/// What the gate knows of a cold target, and what follows for the requests that it may get.
+/// The part of the gate that limits requests to a cold target.
 namespace cometstand::sidecar {
 
 void TargetGate::setColdStart(const mesh::ColdStart& start, TimePoint now) {
@@ -17,11 +17,11 @@
 
 void TargetGate::onHeartbeat(const Heartbeat& beat, TimePoint now) {
   now_ = now;
-  // Others came late, or are of an instance that is gone.
+  // Other heartbeats arrived late, or belong to an instance that has ended.
   const bool is_newest = beat.incarnation == target_.incarnation() && beat.sequence == target_.sequence();
   if (!is_newest) return;
-  beaten_at_ = now;
-  const bool is_first = std::exchange(warmth_of_, beat.incarnation) != beat.incarnation;
+  last_heartbeat_at_ = now;
+  const bool is_first = std::exchange(warmth_incarnation_, beat.incarnation) != beat.incarnation;
   if (is_first) {
     warmth_.onNewInstance(beat.cold_remaining, now);
   } else {
@@ -35,7 +35,7 @@
     warmth_.onAnswered(std::nullopt, now);
     return;
   }
-  const bool is_first = std::exchange(warmth_of_, target_.incarnation()) != target_.incarnation();
+  const bool is_first = std::exchange(warmth_incarnation_, target_.incarnation()) != target_.incarnation();
   warmth_.onAnswered(health.cold_remaining, now);
   if (is_first && !health.cold_remaining) doubtWarmth("first answer", now);
   logEvent(kTargetAsked, {{"instance", health.instance},
@@ -46,12 +46,12 @@
 
 void TargetGate::onProbed(ProbeOutcome outcome, TimePoint now) {
   now_ = now;
-  noteEndOfTarget(watch_.onProbed(outcome, now), now);
+  recordTargetEnd(watch_.onProbed(outcome, now), now);
 }
 
 void TargetGate::doubtWarmth(const char* cause, TimePoint now) {
   now_ = now;
-  // A target that leaves, or was not heard of, gets nothing anyway.
+  // A target that shuts down, or of which no heartbeat has arrived, gets no requests anyway.
   if (target_.condition() != TargetCondition::Ready || !warmth_.doubt(now)) return;
   logEvent(kTargetDoubted, {{"instance", target_.incarnation().name()},
                             {"cause", cause},
@@ -63,29 +63,29 @@
   return warmth_.isCold(now) ? warmth_.coldUntil() - now : Duration::zero();
 }
 
-Duration TargetGate::toldColdTime(TimePoint now) const {
+Duration TargetGate::reportedColdTime(TimePoint now) const {
   return warmth_.isBounded() ? std::max(Duration::zero(), warmth_.toldUntil() - now) : Duration::zero();
 }
 
-bool TargetGate::takeHealthQuestion(TimePoint now) {
+bool TargetGate::startHealthCheckIfDue(TimePoint now) {
   if (target_.condition() != TargetCondition::Ready || !warmth_.takeQuestion(now)) return false;
-  // The question takes a slot of the target, as a request does.
-  cold_limit_.noteSent(now);
+  // A health check occupies a slot of the target, as a request does.
+  cold_limit_.recordSent(now);
   return true;
 }
 
 bool TargetGate::isColdLimited(TimePoint now) const {
-  return warmth_.isCold(now) && cold_limit_.room(now) == 0;
+  return warmth_.isCold(now) && cold_limit_.available(now) == 0;
 }
 
-Duration TargetGate::waitFor(std::size_t ahead, TimePoint now) const {
-  const Duration for_slot = expectedWait(ahead);
+Duration TargetGate::estimateWait(std::size_t ahead, TimePoint now) const {
+  const Duration for_slot = estimateSlotWait(ahead);
   if (!warmth_.isCold(now)) return for_slot;
-  const TimePoint room = std::min(cold_limit_.nextRoom(now, ahead), warmth_.coldUntil());
-  return std::max(for_slot, room - now);
+  const TimePoint limit_allows_at = std::min(cold_limit_.nextAvailable(now, ahead), warmth_.coldUntil());
+  return std::max(for_slot, limit_allows_at - now);
 }
 
-wire::NotRunReason TargetGate::reasonForFull(TimePoint now) const {
+wire::NotRunReason TargetGate::capacityRefusalReason(TimePoint now) const {
   return isColdLimited(now) ? wire::NotRunReason::Cold : wire::NotRunReason::Full;
 }
 
@@ -95,9 +95,9 @@
   if (target_.condition() == TargetCondition::Ready && warmth_.isDoubted(now_)) {
     next = warmth_.nextQuestion();
   }
-  if (beaten_at_) next = std::min(next, *beaten_at_ + TargetState::kSilence);
+  if (last_heartbeat_at_) next = std::min(next, *last_heartbeat_at_ + TargetState::kSilence);
   if (waiting_.empty() || !isColdLimited(now_)) return next;
-  return std::min({next, cold_limit_.nextRoom(now_), warmth_.coldUntil()});
+  return std::min({next, cold_limit_.nextAvailable(now_), warmth_.coldUntil()});
 }
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/cold_rate_limit.h
+++ b/src/sidecar/cold_rate_limit.h
@@ -7,43 +7,43 @@
 
 namespace cometstand::sidecar {
 
-/// Bounds the requests that one cold target gets. Two bounds hold together: a token bucket spreads them at
-/// the rate that the target bears, and a count over a sliding window keeps the operators' bound, also when
-/// the target turns cold just after it got many.
+/// Limits the requests to one cold target by two bounds at the same time: a token bucket spreads them at the
+/// rate that the target can handle, and a count over a sliding window enforces the operators' limit, even if
+/// the target turns cold just after it received many.
 ///
-/// One gate passes all requests for its target, so a bound here is one over all senders.
+/// The gate passes all requests for its target, so the limit covers all senders together.
 class ColdRateLimit {
  public:
-  /// @param overshoot, slack of the operators' bound: rate times the first, and the second besides, in any
-  /// second.
+  /// @param overshoot, slack terms of the operators' limit: in any second at most rate * overshoot + slack
+  /// requests.
   ColdRateLimit(double overshoot, double slack) : overshoot_(overshoot), slack_(slack) {}
 
-  /// Requests a second that the target bears while it is cold, above zero.
+  /// Sets how many requests a second the target can handle while it is cold, above zero.
   void setRate(double requests_per_second) { rate_ = requests_per_second; }
 
-  /// A request goes to the target, cold or warm.
-  void noteSent(TimePoint now);
-  /// The target is another instance: what the one before got does not count.
+  /// Counts a request that is sent to the target, cold or warm.
+  void recordSent(TimePoint now);
+  /// Starts anew for another instance: requests to the previous one do not count.
   void reset(TimePoint now);
 
-  /// @return requests that a cold target may get now.
-  unsigned room(TimePoint now) const;
-  /// @return when a cold target may get another request, for so many that wait before it; `now` if at once.
-  TimePoint nextRoom(TimePoint now, std::size_t ahead = 0) const;
+  /// @return the number of requests that may be sent to a cold target now.
+  unsigned available(TimePoint now) const;
+  /// @return when a cold target may get the next request behind `ahead` queued ones; `now` if at once.
+  TimePoint nextAvailable(TimePoint now, std::size_t ahead = 0) const;
 
  private:
   double tokensAt(TimePoint now) const;
-  /// @return the most that a cold target may get in a window.
-  std::size_t mostInWindow() const;
+  /// @return the limit on requests to a cold target in one window.
+  std::size_t maxInWindow() const;
   std::size_t sentSince(TimePoint time) const;
 
   double overshoot_;
   double slack_;
   double rate_ = 1;
-  /// As of `filled_at_`.
+  /// Tokens as of `filled_at_`.
   double tokens_ = 0;
   TimePoint filled_at_;
-  /// Times of the sendings of the last window, the oldest first.
+  /// Send times of the requests in the last window, oldest first.
   std::deque<TimePoint> sent_;
 };
 
--- a/src/sidecar/gate_asker.h
+++ b/src/sidecar/gate_asker.h
@@ -9,21 +9,22 @@
 
 namespace cometstand::sidecar {
 
-/// How an asker wants its answer.
-struct AnswerWish {
-  /// Bytes of the body that it takes before it grants more; 0 if all is wanted in one message.
+/// How the sender of a request wants the answer delivered.
+struct ReplyOptions {
+  /// Bytes of the body that the sender accepts before it grants more credit; 0 if the whole answer is to come
+  /// in one message.
   std::uint32_t credit = 0;
-  /// Afterwards the answer is of no use.
+  /// After this time the answer is of no use.
   TimePoint wanted_until = TimePoint::max();
 };
 
-/// Who waits for the answer to a request at the gate: a link to another sidecar, or this sidecar itself.
+/// The sender of a request at the gate: a link to another sidecar, or this sidecar itself.
 struct GateAsker {
-  /// The default stands for this sidecar's own callers.
+  /// The default stands for local callers of this sidecar.
   runtime::LinkId link{};
   std::uint64_t request_id = 0;
-  /// Takes no part in the comparison.
-  AnswerWish answer = {};
+  /// Not compared: it does not identify the sender.
+  ReplyOptions answer = {};
 
   friend bool operator==(const GateAsker& a, const GateAsker& b) {
     return a.link == b.link && a.request_id == b.request_id;
--- a/src/sidecar/offered_load.h
+++ b/src/sidecar/offered_load.h
@@ -6,42 +6,42 @@
 
 namespace cometstand::sidecar {
 
-/// Estimates how many slots a stream of requests would keep busy, refused ones included: its offered load, in
-/// Erlang (arrivals each second times seconds of work each).
+/// Estimates the offered load of a stream of requests in Erlang, which is the number of slots that it would
+/// keep busy: arrivals per second times seconds of run time, refused requests included.
 class OfferedLoad {
  public:
   void onArrival(TimePoint now) {
-    rate_ = rateAt(now) + 1 / kMemorySeconds;
-    rated_at_ = now;
+    arrival_rate_ = arrivalRateAt(now) + 1 / kDecaySeconds;
+    arrival_rate_at_ = now;
   }
 
   void onRunTime(Duration time) {
     const double seconds = secondsOf(time);
-    run_seconds_ = run_seconds_ == 0 ? seconds : run_seconds_ + kNewest * (seconds - run_seconds_);
+    run_seconds_ = run_seconds_ == 0 ? seconds : run_seconds_ + kNewestWeight * (seconds - run_seconds_);
   }
 
-  /// @return the smoothed time of work; zero before the first.
+  /// @return the smoothed run time; zero before the first result.
   Duration runTime() const {
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(run_seconds_));
   }
 
-  double erlangs(TimePoint now) const { return rateAt(now) * run_seconds_; }
+  double erlangs(TimePoint now) const { return arrivalRateAt(now) * run_seconds_; }
 
  private:
-  /// Arrivals of this long ago count 1/e.
-  static constexpr double kMemorySeconds = 1;
-  /// Weight of the newest run.
-  static constexpr double kNewest = 0.1;
+  /// Time constant of the exponential decay: an arrival this long ago counts 1/e.
+  static constexpr double kDecaySeconds = 1;
+  /// Weight of the newest run in the smoothed run time.
+  static constexpr double kNewestWeight = 0.1;
 
   static double secondsOf(Duration time) { return std::chrono::duration<double>(time).count(); }
 
-  double rateAt(TimePoint now) const {
-    return rate_ * std::exp(-secondsOf(now - rated_at_) / kMemorySeconds);
+  double arrivalRateAt(TimePoint now) const {
+    return arrival_rate_ * std::exp(-secondsOf(now - arrival_rate_at_) / kDecaySeconds);
   }
 
-  /// Arrivals each second, as of `rated_at_`.
-  double rate_ = 0;
-  TimePoint rated_at_;
+  /// Arrivals per second as of `arrival_rate_at_`.
+  double arrival_rate_ = 0;
+  TimePoint arrival_rate_at_;
   double run_seconds_ = 0;
 };
 
--- a/src/sidecar/quarantine.cpp
+++ b/src/sidecar/quarantine.cpp
@@ -12,16 +12,16 @@
 using mesh::ContentDigest;
 using State = wire::ContentState;
 
-/// A report is sent again for so long: longer than the stores take for a new leader, about two seconds.
-constexpr Duration kReportTime = std::chrono::seconds(6);
+/// A report is resent for this long. The stores take about 2 s to elect a new leader, so it reaches the new
+/// one.
+constexpr Duration kReportRetryTime = std::chrono::seconds(6);
 constexpr Duration kResendInterval = std::chrono::milliseconds(500);
-/// Reports that are sent again; a target ends once in some seconds at most.
-constexpr std::size_t kMostReports = 8;
-/// Bodies up to this size are remembered when they have run to their end: larger ones hardly come twice, and
-/// their digest costs the more.
-constexpr std::size_t kMostRememberedBody = 4 * 1024;
-/// Characters of the list of contents in a log line: about 15 digests.
-constexpr std::size_t kMostLoggedContents = 500;
+/// Limit on the reports that are resent; a target ends at most once in some seconds.
+constexpr std::size_t kMaxPendingReports = 8;
+/// Requests with larger bodies are not recorded as completed: they rarely recur, and their digests cost more.
+constexpr std::size_t kMaxRecordedBodyBytes = 4 * 1024;
+/// Length of the list of contents in a log line, about 15 digests.
+constexpr std::size_t kMaxLoggedContentsChars = 500;
 
 void addSuspect(wire::CrashReportT& report, std::set<ContentDigest>& known, const ContentDigest& digest,
                 const std::string& caller) {
@@ -39,7 +39,7 @@
   return found == entries_.end() ? nullptr : &found->second;
 }
 
-const Quarantine::Entry* Quarantine::entryOf(const wire::ForwardRequestT& request, State state) const {
+const Quarantine::Entry* Quarantine::findEntry(const wire::ForwardRequestT& request, State state) const {
   const auto digests = mesh::digestsOf(request);
   const auto* exact = find(digests.exact);
   if (exact != nullptr && exact->state == state) return exact;
@@ -48,27 +48,27 @@
 }
 
 bool Quarantine::blocks(const wire::ForwardRequestT& request) const {
-  return quarantined_ > 0 && entryOf(request, State::Quarantined) != nullptr;
+  return quarantined_ > 0 && findEntry(request, State::Quarantined) != nullptr;
 }
 
 bool Quarantine::isSuspect(const wire::ForwardRequestT& request) const {
-  return suspected() > 0 && entryOf(request, State::Suspected) != nullptr;
+  return suspected() > 0 && findEntry(request, State::Suspected) != nullptr;
 }
 
 void Quarantine::apply(const wire::QuarantineUpdateT& update) {
-  // Of a store that is behind the one before.
-  if (update.number <= number_) return;
-  number_ = update.number;
+  // The update is from a store that lags behind the previous one.
+  if (update.number <= last_update_number_) return;
+  last_update_number_ = update.number;
   if (update.is_whole) {
     entries_.clear();
     quarantined_ = 0;
   }
   for (const auto& notice : update.notices) {
-    if (notice->digest != nullptr) put(*notice);
+    if (notice->digest != nullptr) applyNotice(*notice);
   }
 }
 
-void Quarantine::put(const wire::ContentNoticeT& notice) {
+void Quarantine::applyNotice(const wire::ContentNoticeT& notice) {
   const auto digest = mesh::readDigest(*notice.digest);
   const auto known = entries_.find(digest);
   if (known != entries_.end()) {
@@ -81,7 +81,7 @@
 }
 
 void Quarantine::onReportTaken(const std::string& instance) {
-  std::erase_if(reports_, [&instance](const auto& report) { return report.instance == instance; });
+  std::erase_if(pending_reports_, [&instance](const auto& report) { return report.instance == instance; });
 }
 
 void Quarantine::onTargetEnded(const TargetEnd& end, const std::string& service, TimePoint now) {
@@ -89,53 +89,53 @@
   report.instance = end.incarnation.name();
   report.service = service;
   std::set<ContentDigest> known;
-  std::size_t innocents = 0;
+  std::size_t completed_before = 0;
   for (const auto& request : end.requests) {
     const auto digests = mesh::digestsOf(*request);
-    if (memory_.contains(digests.exact, now)) {
-      ++innocents;
+    if (completed_contents_.contains(digests.exact, now)) {
+      ++completed_before;
       continue;
     }
     addSuspect(report, known, digests.exact, request->caller_service);
-    const bool has_path = digests.path && !memory_.contains(*digests.path, now);
+    const bool has_path = digests.path && !completed_contents_.contains(*digests.path, now);
     if (has_path) addSuspect(report, known, *digests.path, request->caller_service);
   }
-  memory_.clear();
+  completed_contents_.clear();
   std::string contents;
   for (const auto& digest : known) {
-    if (contents.size() >= kMostLoggedContents) break;
+    if (contents.size() >= kMaxLoggedContentsChars) break;
     contents += (contents.empty() ? "" : " ") + mesh::formatDigest(digest);
   }
   logEvent(kTargetEnded, {{"instance", end.incarnation.name()},
                           {"service", service},
                           {"requests", end.requests.size()},
-                          {"innocent", innocents},
+                          {"innocent", completed_before},
                           {"contents", contents}});
   if (report.suspects.empty()) return;
   const auto message = std::make_shared<const wire::EnvelopeT>(runtime::makeEnvelope(std::move(report)));
-  reports_.push_back({message, end.incarnation.name(), now + kReportTime});
-  if (reports_.size() > kMostReports) reports_.pop_front();
+  pending_reports_.push_back({message, end.incarnation.name(), now + kReportRetryTime});
+  if (pending_reports_.size() > kMaxPendingReports) pending_reports_.pop_front();
   resend_at_ = now + kResendInterval;
   broadcast_(message);
 }
 
-void Quarantine::onRunToEnd(const wire::ForwardRequestT& request, const mesh::Incarnation& target,
-                            TimePoint now) {
-  const bool is_remembered = request.body.size() <= kMostRememberedBody;
-  if (!is_remembered && suspected() == 0) return;
+void Quarantine::onCompleted(const wire::ForwardRequestT& request, const mesh::Incarnation& target,
+                             TimePoint now) {
+  const bool is_recorded = request.body.size() <= kMaxRecordedBodyBytes;
+  if (!is_recorded && suspected() == 0) return;
   const auto digests = mesh::digestsOf(request);
-  if (is_remembered) memory_.note(digests.exact, now);
-  if (is_remembered && digests.path) memory_.note(*digests.path, now);
-  clear(digests.exact, target.name(), now);
-  if (digests.path) clear(*digests.path, target.name(), now);
+  if (is_recorded) completed_contents_.record(digests.exact, now);
+  if (is_recorded && digests.path) completed_contents_.record(*digests.path, now);
+  reportCleared(digests.exact, target.name(), now);
+  if (digests.path) reportCleared(*digests.path, target.name(), now);
 }
 
-void Quarantine::clear(const ContentDigest& digest, const std::string& instance, TimePoint now) {
+void Quarantine::reportCleared(const ContentDigest& digest, const std::string& instance, TimePoint now) {
   const auto found = entries_.find(digest);
   if (found == entries_.end() || found->second.state != State::Suspected) return;
   auto& entry = found->second;
-  if (entry.cleared_at && now < *entry.cleared_at + kResendInterval) return;
-  entry.cleared_at = now;
+  if (entry.last_clearance_at && now < *entry.last_clearance_at + kResendInterval) return;
+  entry.last_clearance_at = now;
   wire::ContentClearanceT clearance;
   clearance.digest = mesh::writeDigest(digest);
   clearance.number = entry.number;
@@ -144,10 +144,10 @@
 }
 
 void Quarantine::onTimer(TimePoint now) {
-  if (reports_.empty() || now < resend_at_) return;
+  if (pending_reports_.empty() || now < resend_at_) return;
   resend_at_ = now + kResendInterval;
-  std::erase_if(reports_, [now](const auto& report) { return report.until <= now; });
-  for (const auto& report : reports_) broadcast_(report.message);
+  std::erase_if(pending_reports_, [now](const auto& report) { return report.retry_until <= now; });
+  for (const auto& report : pending_reports_) broadcast_(report.message);
 }
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/quarantine.h
+++ b/src/sidecar/quarantine.h
@@ -13,38 +13,37 @@
 
 namespace cometstand::sidecar {
 
-/// What this sidecar knows of requests that end the targets that run them (queries of death), and what it
-/// tells the stores: which requests its target had when it ended, and which suspects have run to their end
-/// here.
+/// Tracks requests that crash the targets that run them (queries of death), and reports to the stores which
+/// requests the target had when it ended and which suspected ones have since been completed here.
 ///
-/// Who judges is the replicated state of the stores (store/quarantine_register.h). A sidecar keeps nothing on
-/// disk; a store tells it all before the first configuration, so that no request is passed on without that
-/// knowledge.
+/// The replicated state of the stores decides what is quarantined (store/quarantine_register.h). A sidecar
+/// keeps none of it on disk: a store sends the whole list before the first configuration, so no request is
+/// passed on before the list is known.
 class Quarantine {
  public:
-  /// Sends the message to every linked store.
+  /// Sends a message to every linked store.
   using Broadcast = std::function<void(const runtime::MessagePointer&)>;
 
   explicit Quarantine(Broadcast broadcast) : broadcast_(std::move(broadcast)) {}
 
   void apply(const wire::QuarantineUpdateT& update);
-  /// A store has the report on the end of this instance.
+  /// A store has acknowledged the report on the end of this instance.
   void onReportTaken(const std::string& instance);
-  /// @return true if nobody may run the request.
+  /// @return true if the request is quarantined: no target may run it.
   bool blocks(const wire::ForwardRequestT& request) const;
-  /// @return true if the request was at targets when they ended, more than once, and has not run to its end
-  /// since.
+  /// @return true if more than one target ended while it had the request, and none has completed it since.
   bool isSuspect(const wire::ForwardRequestT& request) const;
 
-  /// The target ended. What it has run to its end before is no suspect.
+  /// Reports the requests that the target had when it ended as suspects, without those that it had completed
+  /// before.
   void onTargetEnded(const TargetEnd& end, const std::string& service, TimePoint now);
-  /// The target has run the request to its end.
-  void onRunToEnd(const wire::ForwardRequestT& request, const mesh::Incarnation& target, TimePoint now);
+  /// Handles that the target has completed the request.
+  void onCompleted(const wire::ForwardRequestT& request, const mesh::Incarnation& target, TimePoint now);
 
   void onTimer(TimePoint now);
-  TimePoint nextTimer() const { return reports_.empty() ? TimePoint::max() : resend_at_; }
+  TimePoint nextTimer() const { return pending_reports_.empty() ? TimePoint::max() : resend_at_; }
 
-  /// Contents that nobody may run.
+  /// Number of quarantined contents, which no target may run.
   std::size_t quarantined() const { return quarantined_; }
   std::size_t suspected() const { return entries_.size() - quarantined_; }
 
@@ -52,28 +51,28 @@
   struct Entry {
     wire::ContentState state = wire::ContentState::Suspected;
     std::uint64_t number = 0;
-    /// When the stores were told last that it has run to its end.
-    std::optional<TimePoint> cleared_at;
+    /// When the stores were last informed that the content was completed.
+    std::optional<TimePoint> last_clearance_at;
   };
   struct Report {
     runtime::MessagePointer message;
     std::string instance;
-    TimePoint until;
+    TimePoint retry_until;
   };
 
   const Entry* find(const mesh::ContentDigest& digest) const;
-  const Entry* entryOf(const wire::ForwardRequestT& request, wire::ContentState state) const;
-  void put(const wire::ContentNoticeT& notice);
-  void clear(const mesh::ContentDigest& digest, const std::string& instance, TimePoint now);
+  const Entry* findEntry(const wire::ForwardRequestT& request, wire::ContentState state) const;
+  void applyNotice(const wire::ContentNoticeT& notice);
+  void reportCleared(const mesh::ContentDigest& digest, const std::string& instance, TimePoint now);
 
   Broadcast broadcast_;
   std::unordered_map<mesh::ContentDigest, Entry, mesh::ContentDigestHash> entries_;
   std::size_t quarantined_ = 0;
-  /// Of the newest change that is known.
-  std::uint64_t number_ = 0;
-  RunMemory memory_;
-  /// Not known to have been taken, the oldest first.
-  std::list<Report> reports_;
+  /// Number of the newest update that was applied.
+  std::uint64_t last_update_number_ = 0;
+  CompletedContents completed_contents_;
+  /// Reports that no store has acknowledged yet, oldest first.
+  std::list<Report> pending_reports_;
   TimePoint resend_at_;
 };
 
--- a/src/sidecar/run_memory.h
+++ b/src/sidecar/run_memory.h
@@ -8,44 +8,44 @@
 
 namespace cometstand::sidecar {
 
-/// Contents that the target beside this sidecar has run to their end lately. Two generations: what is
-/// remembered is between one and two spans old at most, and less if more contents come than a generation
-/// holds.
-class RunMemory {
+/// Digests of the requests that the target has completed recently, in two generations: an entry is kept for
+/// one to two generation lifetimes, or less if more contents arrive than a generation holds.
+class CompletedContents {
  public:
-  void note(const mesh::ContentDigest& digest, TimePoint now) {
-    turn(now);
-    newer_.insert(digest);
+  void record(const mesh::ContentDigest& digest, TimePoint now) {
+    rotate(now);
+    current_.insert(digest);
   }
   bool contains(const mesh::ContentDigest& digest, TimePoint now) {
-    turn(now);
-    return newer_.contains(digest) || older_.contains(digest);
+    rotate(now);
+    return current_.contains(digest) || previous_.contains(digest);
   }
   void clear() {
-    newer_.clear();
-    older_.clear();
+    current_.clear();
+    previous_.clear();
   }
 
  private:
-  /// A content that turns against its targets is innocent for so much longer.
-  static constexpr Duration kSpan = std::chrono::seconds(5);
-  /// Of a generation: reckoned at 300 KB in all, 32 bytes and a node for each. A flood of contents only
-  /// shortens the time.
-  static constexpr std::size_t kMostContents = 4'096;
+  /// A content that starts to crash its targets still counts as harmless for this long after it was last
+  /// completed.
+  static constexpr Duration kGenerationLifetime = std::chrono::seconds(5);
+  /// Both generations together take about 300 KB, at 32 bytes and a node for each entry. A flood of contents
+  /// only shortens the time for which they are kept.
+  static constexpr std::size_t kMaxContentsPerGeneration = 4'096;
 
   using Digests = std::unordered_set<mesh::ContentDigest, mesh::ContentDigestHash>;
 
-  void turn(TimePoint now) {
-    if (now < turn_at_ && newer_.size() < kMostContents) return;
-    const bool is_old = now >= turn_at_ + kSpan;
-    turn_at_ = now + kSpan;
-    older_ = is_old ? Digests() : std::move(newer_);
-    newer_ = Digests();
+  void rotate(TimePoint now) {
+    if (now < rotate_at_ && current_.size() < kMaxContentsPerGeneration) return;
+    const bool is_outdated = now >= rotate_at_ + kGenerationLifetime;
+    rotate_at_ = now + kGenerationLifetime;
+    previous_ = is_outdated ? Digests() : std::move(current_);
+    current_ = Digests();
   }
 
-  Digests newer_;
-  Digests older_;
-  TimePoint turn_at_;
+  Digests current_;
+  Digests previous_;
+  TimePoint rotate_at_;
 };
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/run_samples.cpp
+++ b/src/sidecar/run_samples.cpp
@@ -7,11 +7,12 @@
 namespace cometstand::sidecar {
 namespace {
 
-/// The bucket i holds times up to 2^(i/2) ms; the last of these goes up to a minute.
+/// Bucket i holds run times up to 2^(i/2) ms; the last one reaches about a minute and also holds all longer
+/// ones.
 constexpr double kBucketsPerDoubling = 2;
 constexpr std::size_t kBuckets = 33;
 
-std::size_t bucketOf(Duration time) {
+std::size_t bucketIndex(Duration time) {
   const double milliseconds = std::chrono::duration<double, std::milli>(time).count();
   const double bucket = std::ceil(kBucketsPerDoubling * std::log2(std::max(1.0, milliseconds)));
   return std::min(static_cast<std::size_t>(bucket), kBuckets - 1);
@@ -21,20 +22,20 @@
 
 void RunSamples::follow(std::uint64_t rollout) {
   if (std::exchange(rollout_, rollout) == rollout) return;
-  begun_ = 0;
+  started_ = 0;
   routes_.clear();
 }
 
-void RunSamples::noteBegun() {
-  if (counts()) ++begun_;
+void RunSamples::recordStart() {
+  if (counts()) ++started_;
 }
 
-void RunSamples::noteTime(Route& route, Duration time) {
+void RunSamples::recordRunTime(Route& route, Duration time) {
   route.run_times.resize(kBuckets);
-  ++route.run_times[bucketOf(time)];
+  ++route.run_times[bucketIndex(time)];
 }
 
-void RunSamples::noteEnded(const std::string& name, bool failed, Duration time, bool was_cold) {
+void RunSamples::recordCompletion(const std::string& name, bool failed, Duration time, bool was_cold) {
   if (!counts()) return;
   auto& route = routes_[name];
   if (failed) {
@@ -42,12 +43,12 @@
     ++route.failed;
   } else if (!was_cold) {
     ++route.ended;
-    noteTime(route, time);
+    recordRunTime(route, time);
   }
 }
 
 void RunSamples::fill(wire::RolloutReportT& report) const {
-  report.begun = begun_;
+  report.begun = started_;
   for (const auto& [name, route] : routes_) {
     auto sample = std::make_shared<wire::RouteSampleT>();
     sample->route = name;
--- a/src/sidecar/run_samples.h
+++ b/src/sidecar/run_samples.h
@@ -8,19 +8,19 @@
 
 namespace cometstand::sidecar {
 
-/// Counts what a target makes of requests while a roll-out of its service runs, by route, for the roll-out's
-/// analysis. Cumulative since the roll-out was heard of.
+/// Counts a target's results by route while a roll-out of its service is in progress, for the analysis of the
+/// roll-out. The counts are cumulative since this sidecar learned of the roll-out.
 class RunSamples {
  public:
-  /// Begins anew if this is another roll-out than the one that is counted; 0 for none.
+  /// Resets the counts if this is another roll-out than the current one; 0 for none.
   void follow(std::uint64_t rollout);
   bool counts() const { return rollout_ != 0; }
 
-  void noteBegun();
-  /// @param was_cold the target was slow from its start when the run began: its time says nothing.
-  void noteEnded(const std::string& route, bool failed, Duration time, bool was_cold);
+  void recordStart();
+  /// @param was_cold the target was still warming up when the run began: the run time is not counted.
+  void recordCompletion(const std::string& route, bool failed, Duration time, bool was_cold);
 
-  /// Fills in the counts of a report.
+  /// Writes the counts to the report.
   void fill(wire::RolloutReportT& report) const;
 
  private:
@@ -30,10 +30,10 @@
     std::vector<std::uint64_t> run_times;
   };
 
-  void noteTime(Route& route, Duration time);
+  void recordRunTime(Route& route, Duration time);
 
   std::uint64_t rollout_ = 0;
-  std::uint64_t begun_ = 0;
+  std::uint64_t started_ = 0;
   std::map<std::string, Route> routes_;
 };
 
--- a/src/sidecar/sidecar_target.cpp
+++ b/src/sidecar/sidecar_target.cpp
@@ -2,12 +2,12 @@
 #include "sidecar/events.h"
 #include "sidecar/sidecar_core.h"
 
-/// What a sidecar learns of the target beside it, and what it tells others of it.
+/// The part of the sidecar that handles the state of its target and reports it to the stores.
 namespace cometstand::sidecar {
 namespace {
 
-/// Bytes of an id that a stranger chose.
-constexpr std::size_t kMostLoggedId = 64;
+/// Limit on the logged part of an id, which an unknown sender may have made arbitrarily long.
+constexpr std::size_t kMaxLoggedIdBytes = 64;
 
 }  // namespace
 
@@ -18,7 +18,8 @@
   gate_.onResult(id, std::move(result), now);
 }
 
-/// The own service's target may come before the configuration that names it.
+/// The target of this sidecar's own service may register before the configuration that names the service
+/// arrives.
 bool SidecarCore::isNamed(const std::string& service) const {
   return service == options_.service || calls_.routes() == nullptr || calls_.routes()->knows(service);
 }
@@ -36,11 +37,11 @@
 
 void SidecarCore::onHealth(const TargetHealth& health, TimePoint now) {
   advance(now);
-  const bool is_well = health.ready && !health.instance.empty();
-  const bool is_news =
-      is_well && gate_.target().onReadyWhenAsked(health.instance, options_.service, health.slots);
+  const bool is_ready = health.ready && !health.instance.empty();
+  const bool has_target_changed =
+      is_ready && gate_.target().onReadyWhenAsked(health.instance, options_.service, health.slots);
   gate_.onHealth(health, now);
-  if (is_news || hasTurned(now)) onTargetChanged(now);
+  if (has_target_changed || hasTurned(now)) onTargetChanged(now);
 }
 
 void SidecarCore::onProbed(ProbeOutcome outcome, TimePoint now) {
@@ -48,7 +49,8 @@
   gate_.onProbed(outcome, now);
 }
 
-/// A sidecar that starts beside a target that runs need not wait for its next heartbeat.
+/// Requests the health of a target of which no heartbeat has arrived, so that a sidecar that starts beside a
+/// running target need not wait for its next heartbeat.
 void SidecarCore::askTarget() {
   if (asked_target_ || gate_.target().condition() != TargetCondition::Unheard) return;
   const auto path = calls_.routes()->healthPath(options_.service);
@@ -64,7 +66,7 @@
 
 void SidecarCore::onUnreadableWord(const std::string& id, const Error& error) {
   ++unreadable_words_[error.kind()];
-  logEvent(kUnreadableWord, {{"id", id.substr(0, kMostLoggedId)},
+  logEvent(kUnreadableWord, {{"id", id.substr(0, kMaxLoggedIdBytes)},
                              {"kind", std::string(errorKindName(error.kind()))},
                              {"reason", error.what()}});
 }
@@ -78,7 +80,8 @@
   const auto record = ownRecord();
   is_reported_cold_ = record.cold_ms > 0;
   control_.report(record);
-  // This sidecar's own requests need not wait until the record has come round.
+  // Applies the record locally at once, so that this sidecar's own requests need not wait until the store
+  // sends it back.
   wire::EndpointUpdateT update;
   update.records.push_back(std::make_shared<wire::EndpointRecordT>(record));
   onEndpoints(update, false, now);
@@ -87,10 +90,11 @@
   setColdStart(now);
 }
 
-/// @return true if the stores have another word on whether the target is cold than it says itself.
+/// @return true if the last record sent to the stores differs from the target's own reports on whether it is
+/// cold.
 bool SidecarCore::hasTurned(TimePoint now) const {
   if (gate_.target().condition() == TargetCondition::Unheard) return false;
-  return is_reported_cold_ != (gate_.toldColdTime(now) > Duration::zero());
+  return is_reported_cold_ != (gate_.reportedColdTime(now) > Duration::zero());
 }
 
 wire::EndpointRecordT SidecarCore::ownRecord() const {
@@ -103,8 +107,9 @@
   record.zone = options_.zone;
   record.slots = target.slots();
   record.version = target.version();
-  record.cold_ms = static_cast<std::uint32_t>(ceilMilliseconds(gate_.toldColdTime(now_)));
-  // Without a configuration the gate does not know what its target bears, or whether its zone is in use.
+  record.cold_ms = static_cast<std::uint32_t>(ceilMilliseconds(gate_.reportedColdTime(now_)));
+  // Without a configuration the gate does not know the limits of a cold target, or whether the zone is in
+  // use.
   const bool is_live =
       target.condition() == TargetCondition::Ready && !withdrawn_ && calls_.routes() != nullptr;
   record.state = is_live ? wire::EndpointState::Live : wire::EndpointState::Leaving;
@@ -113,14 +118,15 @@
 
 void SidecarCore::setColdStart(TimePoint now) {
   if (calls_.routes() == nullptr) return;
-  const auto& told = gate_.target().service();
-  gate_.setColdStart(calls_.routes()->coldStart(told.empty() ? options_.service : told), now);
+  const auto& reported_service = gate_.target().service();
+  gate_.setColdStart(
+      calls_.routes()->coldStart(reported_service.empty() ? options_.service : reported_service), now);
 }
 
 void SidecarCore::askIfDoubted(TimePoint now) {
   if (calls_.routes() == nullptr) return;
-  // Also without a path the question is noted, or it would be due for ever.
-  if (!gate_.takeHealthQuestion(now)) return;
+  // The health check counts as sent even without a path, or it would remain due forever.
+  if (!gate_.startHealthCheckIfDue(now)) return;
   const auto path = calls_.routes()->healthPath(gate_.target().service());
   if (!path.empty()) target_port_.askHealth(path);
 }
--- a/src/sidecar/target_gate.cpp
+++ b/src/sidecar/target_gate.cpp
@@ -12,17 +12,17 @@
 
 constexpr double kPermille = 1000;
 /// A request with less time left is not worth a slot.
-constexpr Duration kLeastTimeLeft = std::chrono::milliseconds(5);
-/// A target with fewer slots keeps none for short requests.
-constexpr unsigned kLeastSlotsToKeep = 4;
-/// Most of a target's slots that are kept for short requests: long ones must not starve.
-constexpr double kMostKept = 1.0 / 3;
-/// A run that takes so many times as long as the mean of its kind is still waited for: times of one kind
-/// vary, and the answer needs its way back.
-constexpr int kLongRuns = 2;
-/// How long an objective counts as one that comes.
-constexpr Duration kObjectiveMemory = std::chrono::seconds(2);
-constexpr Duration kLeastRetryAfter = std::chrono::milliseconds(10);
+constexpr Duration kMinTimeLeft = std::chrono::milliseconds(5);
+/// Targets with fewer slots reserve none for short requests.
+constexpr unsigned kMinSlotsToReserve = 4;
+/// The largest share of the slots that is reserved for short requests, so that long ones do not starve.
+constexpr double kMaxReservedShare = 1.0 / 3;
+/// Multiple of the smoothed run time within which a short request is expected to finish: run times of one
+/// kind of request vary, and the answer takes time on its way back.
+constexpr int kRunTimeMargin = 2;
+/// How long after its arrival a request's objective is compared with those of others.
+constexpr Duration kObjectiveLifetime = std::chrono::seconds(2);
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(10);
 
 }  // namespace
 
@@ -32,15 +32,15 @@
   return target_leaves || now >= close_at_;
 }
 
-std::optional<wire::NotRunReason> TargetGate::refusalOf(const wire::ForwardRequestT& request,
-                                                        TimePoint now) const {
+std::optional<wire::NotRunReason> TargetGate::refusalReason(const wire::ForwardRequestT& request,
+                                                            TimePoint now) const {
   if (target_.condition() == TargetCondition::Unheard) return wire::NotRunReason::TargetDown;
   if (target_.service() != request.service) return wire::NotRunReason::WrongTarget;
-  if (refusesForZone(now)) return wire::NotRunReason::Evacuated;
-  if (!isServedHere(request)) return wire::NotRunReason::WrongTarget;
+  if (refusesAsEvacuated(now)) return wire::NotRunReason::Evacuated;
+  if (!isServedInRegion(request)) return wire::NotRunReason::WrongTarget;
   if (isClosed(now)) return wire::NotRunReason::Leaving;
   if (quarantine_.blocks(request)) return wire::NotRunReason::Quarantined;
-  if (std::chrono::milliseconds(request.deadline_ms) < kLeastTimeLeft) return wire::NotRunReason::Deadline;
+  if (std::chrono::milliseconds(request.deadline_ms) < kMinTimeLeft) return wire::NotRunReason::Deadline;
   return std::nullopt;
 }
 
@@ -53,30 +53,30 @@
   }
 }
 
-bool TargetGate::isServedHere(const wire::ForwardRequestT& request) const {
+bool TargetGate::isServedInRegion(const wire::ForwardRequestT& request) const {
   const auto route = routes_ == nullptr ? nullptr : routes_->findByName(request.route);
   return route == nullptr || mesh::isAllowedRegion(route->regions, options_.zones.regionOf(options_.zone));
 }
 
 unsigned TargetGate::slots() const { return std::max(1U, target_.slots()); }
 
-bool TargetGate::isLong(const wire::ForwardRequestT& request) const {
+bool TargetGate::hasLongObjective(const wire::ForwardRequestT& request) const {
   return request.objective_ms / options_.long_objective_ratio >= shortest_objective_ms_;
 }
 
 bool TargetGate::yields(const wire::ForwardRequestT& request) const {
-  return isLong(request) && request.priority > shortest_priority_;
+  return hasLongObjective(request) && request.priority > shortest_priority_;
 }
 
 unsigned TargetGate::slotsForYielding(TimePoint now) const {
-  if (slots() < kLeastSlotsToKeep) return slots();
-  const double most = std::floor(slots() * kMostKept);
-  const double wanted = std::clamp(std::ceil(short_load_.erlangs(now)), 1.0, most);
-  return slots() - static_cast<unsigned>(wanted);
+  if (slots() < kMinSlotsToReserve) return slots();
+  const double max_reserved = std::floor(slots() * kMaxReservedShare);
+  const double reserved = std::clamp(std::ceil(non_yielding_load_.erlangs(now)), 1.0, max_reserved);
+  return slots() - static_cast<unsigned>(reserved);
 }
 
-/// What yields is bounded by its own number, not by all that runs: a slot that the others use now is not kept
-/// for them a second time.
+/// Bounds yielding requests by their own number and not by all running ones: a slot that other requests use
+/// now is not reserved for them a second time.
 bool TargetGate::hasSlotFor(const wire::ForwardRequestT& request, TimePoint now) const {
   if (running_.size() >= slots() || isColdLimited(now)) return false;
   if (!yields(request)) return true;
@@ -85,43 +85,43 @@
   return yielding < static_cast<std::ptrdiff_t>(slotsForYielding(now));
 }
 
-void TargetGate::noteObjective(const wire::ForwardRequestT& request, TimePoint now) {
-  if (request.objective_ms > shortest_objective_ms_ && now < shortest_seen_at_ + kObjectiveMemory) return;
+void TargetGate::recordObjective(const wire::ForwardRequestT& request, TimePoint now) {
+  if (request.objective_ms > shortest_objective_ms_ && now < shortest_seen_at_ + kObjectiveLifetime) return;
   shortest_objective_ms_ = request.objective_ms;
   shortest_priority_ = request.priority;
   shortest_seen_at_ = now;
 }
 
-bool TargetGate::isYieldedTo(const wire::ForwardRequestT& request, TimePoint now) const {
-  return yielding_seen_at_ && now < *yielding_seen_at_ + kObjectiveMemory && !isLong(request);
+bool TargetGate::hasPrecedence(const wire::ForwardRequestT& request, TimePoint now) const {
+  return yielding_seen_at_ && now < *yielding_seen_at_ + kObjectiveLifetime && !hasLongObjective(request);
 }
 
-/// A short request among long ones waits as long as its answer can still be in time: it takes little of the
-/// target, and who sent it has mostly done much more already, for example a run that needs the answer to go
-/// on.
-Duration TargetGate::patienceFor(const wire::ForwardRequestT& request, TimePoint now) const {
-  const Duration asked = std::chrono::milliseconds(request.patience_ms);
-  if (!isYieldedTo(request, now)) return asked;
+/// A short request among long ones waits as long as its answer can still arrive in time: it takes little of
+/// the target's capacity, and its sender has mostly done much more work already, for example a run that needs
+/// this answer to continue.
+Duration TargetGate::maxQueueTime(const wire::ForwardRequestT& request, TimePoint now) const {
+  const Duration requested = std::chrono::milliseconds(request.patience_ms);
+  if (!hasPrecedence(request, now)) return requested;
   const Duration objective = std::chrono::milliseconds(request.objective_ms);
-  return std::max(asked, objective - kLongRuns * short_load_.runTime());
+  return std::max(requested, objective - kRunTimeMargin * non_yielding_load_.runTime());
 }
 
-TargetGate::Place TargetGate::placeOf(const wire::ForwardRequestT& request, TimePoint now) const {
+TargetGate::QueueKey TargetGate::queueKeyOf(const wire::ForwardRequestT& request, TimePoint now) const {
   const TimePoint deadline = now + std::chrono::milliseconds(request.deadline_ms);
-  const TimePoint start_by = std::min(deadline, now + patienceFor(request, now));
+  const TimePoint start_by = std::min(deadline, now + maxQueueTime(request, now));
   return {request.priority, start_by, next_number_};
 }
 
-Duration TargetGate::expectedWait(std::size_t ahead) const {
+Duration TargetGate::estimateSlotWait(std::size_t ahead) const {
   return Duration(static_cast<Duration::rep>(mean_run_time_ * static_cast<double>(ahead + 1) / slots()));
 }
 
-/// @return true if the request gets no slot at once, and would wait longer than it may behind those that go
-/// first.
+/// @return true if the request gets no slot at once and would have to wait longer than it may behind the
+/// requests that are served first.
 bool TargetGate::isFullFor(const wire::ForwardRequestT& request, TimePoint now) const {
   if (hasSlotFor(request, now)) return false;
-  const auto ahead = std::distance(waiting_.begin(), waiting_.lower_bound(placeOf(request, now)));
-  return waitFor(static_cast<std::size_t>(ahead), now) > patienceFor(request, now);
+  const auto ahead = std::distance(waiting_.begin(), waiting_.lower_bound(queueKeyOf(request, now)));
+  return estimateWait(static_cast<std::size_t>(ahead), now) > maxQueueTime(request, now);
 }
 
 void TargetGate::reply(const GateAsker& asker, wire::ForwardReplyT reply, TimePoint now) {
@@ -131,17 +131,17 @@
   reply.failure_permille = static_cast<std::uint32_t>(failure_rate_ * kPermille);
   reply.run_time_permille = static_cast<std::uint32_t>(relative_run_time_ * kPermille);
   reply.cold_ms = static_cast<std::uint32_t>(ceilMilliseconds(coldTime(now)));
-  reply.cold_room = reply.cold_ms == 0 ? 0 : cold_limit_.room(now);
+  reply.cold_room = reply.cold_ms == 0 ? 0 : cold_limit_.available(now);
   answer_(asker, std::move(reply));
 }
 
 void TargetGate::refuse(const GateAsker& asker, const wire::ForwardRequestT& request,
-                        wire::NotRunReason reason, TimePoint now, Duration least_wait) {
+                        wire::NotRunReason reason, TimePoint now, Duration min_wait) {
   wire::ForwardReplyT answer;
   answer.outcome = wire::ForwardOutcome::NotRun;
   answer.reason = reason;
   metrics_.noteRefusal(reason);
-  const Duration wait = std::max({waitFor(waiting_.size(), now), least_wait, kLeastRetryAfter});
+  const Duration wait = std::max({estimateWait(waiting_.size(), now), min_wait, kMinRetryAfter});
   logEvent(kGateRefused, {{"request", request.request_id},
                           {"reason", wire::EnumNameNotRunReason(reason)},
                           {"service", request.service},
@@ -158,8 +158,8 @@
 }
 
 bool TargetGate::refuseNow(const GateAsker& asker, const wire::ForwardRequestT& request, TimePoint now) {
-  auto reason = refusalOf(request, now);
-  if (!reason && isFullFor(request, now)) reason = reasonForFull(now);
+  auto reason = refusalReason(request, now);
+  if (!reason && isFullFor(request, now)) reason = capacityRefusalReason(now);
   if (!reason) return false;
   refuse(asker, request, *reason, now);
   return true;
@@ -167,18 +167,18 @@
 
 void TargetGate::admit(const GateAsker& asker, ForwardRequestPointer request, TimePoint now) {
   now_ = now;
-  if (const auto reason = refusalOf(*request, now)) {
+  if (const auto reason = refusalReason(*request, now)) {
     refuse(asker, *request, *reason, now);
     return;
   }
   const TimePoint deadline = now + std::chrono::milliseconds(request->deadline_ms);
-  // Those that wait go first to room that has come since the last event.
+  // Queued requests are served first if the limit of a cold target has allowed more since the last event.
   if (warmth_.isCold(now)) startWaiting(now);
-  noteObjective(*request, now);
+  recordObjective(*request, now);
   if (yields(*request)) {
     yielding_seen_at_ = now;
   } else {
-    short_load_.onArrival(now);
+    non_yielding_load_.onArrival(now);
   }
   if (hasSlotFor(*request, now)) {
     metrics_.waiting_time.note(Duration::zero());
@@ -186,22 +186,22 @@
     return;
   }
   if (isFullFor(*request, now)) {
-    refuse(asker, *request, reasonForFull(now), now);
+    refuse(asker, *request, capacityRefusalReason(now), now);
     return;
   }
-  const Place place = placeOf(*request, now);
+  const QueueKey key = queueKeyOf(*request, now);
   ++next_number_;
-  waiting_.emplace(place, Waiting{asker, std::move(request), now, deadline, place.start_by});
+  waiting_.emplace(key, QueuedRequest{asker, std::move(request), now, deadline, key.start_by});
 }
 
 void TargetGate::start(const GateAsker& asker, const ForwardRequestPointer& request, TimePoint deadline,
                        TimePoint now) {
   const RunId id{next_run_++};
   const bool is_cold = now < target_.coldUntil() || warmth_.isCold(now);
-  running_.emplace(id,
-                   Running{asker, request, now, deadline, is_cold, yields(*request), target_.incarnation()});
-  samples_.noteBegun();
-  cold_limit_.noteSent(now);
+  running_.emplace(
+      id, RunningRequest{asker, request, now, deadline, is_cold, yields(*request), target_.incarnation()});
+  samples_.recordStart();
+  cold_limit_.recordSent(now);
   port_.run({id, request, target_.incarnation().id, deadline - now});
 }
 
@@ -211,14 +211,14 @@
       return hasSlotFor(*item.second.request, now);
     });
     if (first == waiting_.end()) return;
-    const Waiting next = std::move(first->second);
+    const QueuedRequest next = std::move(first->second);
     waiting_.erase(first);
-    if (const auto reason = refusalOf(*next.request, now)) {
+    if (const auto reason = refusalReason(*next.request, now)) {
       refuse(next.asker, *next.request, *reason, now);
-    } else if (next.deadline - now < kLeastTimeLeft) {
+    } else if (next.deadline - now < kMinTimeLeft) {
       refuse(next.asker, *next.request, wire::NotRunReason::Deadline, now);
     } else {
-      metrics_.waiting_time.note(now - next.came);
+      metrics_.waiting_time.note(now - next.arrived_at);
       start(next.asker, next.request, next.deadline, now);
     }
   }
@@ -231,7 +231,7 @@
                                 [&asker](const auto& item) { return item.second.asker == asker; });
   if (run == running_.end()) return;
   port_.cancel(run->first);
-  noteGivenUp(run->second, now);
+  recordAbandoned(run->second, now);
   running_.erase(run);
   startWaiting(now);
 }
@@ -242,7 +242,7 @@
   std::erase_if(running_, [this, link, now](const auto& item) {
     if (item.second.asker.link != link) return false;
     port_.cancel(item.first);
-    noteGivenUp(item.second, now);
+    recordAbandoned(item.second, now);
     return true;
   });
   startWaiting(now);
@@ -252,20 +252,20 @@
   now_ = now;
   const auto run = running_.find(id);
   if (run == running_.end()) return;
-  const Running finished = run->second;
+  const RunningRequest finished = run->second;
   running_.erase(run);
-  watchResult(finished, result, now);
-  noteOutcome(finished, result.reply, now);
-  noteEnd(finished, result.reply, now);
+  reportToWatch(finished, result, now);
+  recordOutcome(finished, result.reply, now);
+  recordEnd(finished, result.reply, now);
   startWaiting(now);
   reply(finished.asker, std::move(result.reply), now);
 }
 
 void TargetGate::onTargetChanged(TimePoint now) {
   now_ = now;
-  noteEndOfTarget(watch_.onIncarnation(target_.incarnation(), now), now);
-  // What broke off runs of the one before, a crash for example, says nothing of this one.
-  if (std::exchange(rated_, target_.incarnation()) != target_.incarnation()) {
+  recordTargetEnd(watch_.onIncarnation(target_.incarnation(), now), now);
+  // The cause of the previous incarnation's failed runs, a crash for example, does not apply to the new one.
+  if (std::exchange(failure_rate_incarnation_, target_.incarnation()) != target_.incarnation()) {
     failure_rate_ = 0;
     cold_limit_.reset(now);
   }
@@ -274,29 +274,30 @@
 
 void TargetGate::onTimer(TimePoint now) {
   now_ = now;
-  if (beaten_at_ && now >= *beaten_at_ + TargetState::kSilence) {
-    beaten_at_.reset();
+  if (last_heartbeat_at_ && now >= *last_heartbeat_at_ + TargetState::kSilence) {
+    last_heartbeat_at_.reset();
     doubtWarmth("no heartbeat", now);
   }
-  std::vector<Waiting> late;
+  std::vector<QueuedRequest> expired;
   std::erase_if(waiting_, [&](const auto& item) {
     if (item.second.start_by > now) return false;
-    late.push_back(item.second);
+    expired.push_back(item.second);
     return true;
   });
-  for (const auto& waiting : late) refuse(waiting.asker, *waiting.request, reasonForFull(now), now);
-  std::vector<Running> overdue;
+  for (const auto& waiting : expired)
+    refuse(waiting.asker, *waiting.request, capacityRefusalReason(now), now);
+  std::vector<RunningRequest> overdue;
   std::erase_if(running_, [&](const auto& item) {
     if (item.second.deadline + kAnswerGrace > now) return false;
     port_.cancel(item.first);
-    noteGivenUp(item.second, now);
+    recordAbandoned(item.second, now);
     overdue.push_back(item.second);
     return true;
   });
   for (const auto& run : overdue) {
     wire::ForwardReplyT answer;
     answer.outcome = wire::ForwardOutcome::Unknown;
-    noteEnd(run, answer, now);
+    recordEnd(run, answer, now);
     reply(run.asker, std::move(answer), now);
   }
   startWaiting(now);
@@ -304,7 +305,7 @@
 
 TimePoint TargetGate::nextTimer() const {
   TimePoint next = TimePoint::max();
-  for (const auto& [place, waiting] : waiting_) next = std::min(next, waiting.start_by);
+  for (const auto& [key, waiting] : waiting_) next = std::min(next, waiting.start_by);
   for (const auto& [id, run] : running_) next = std::min(next, run.deadline + kAnswerGrace);
   return std::min(next, nextColdTimer());
 }
--- a/src/sidecar/target_gate.h
+++ b/src/sidecar/target_gate.h
@@ -23,15 +23,15 @@
 
 namespace cometstand::sidecar {
 
-/// Decides which requests the target beside this sidecar gets, and when. All requests for the target pass
-/// here, so the gate knows exactly what the target has to do: it refuses at once what cannot be run in time,
-/// lets the more urgent go first, and passes nothing to a target that leaves.
+/// Admits requests to the target of this sidecar and queues them. All requests for the target pass through
+/// this gate, so it knows the target's whole load: it refuses at once what cannot be run in time, serves the
+/// more urgent requests first, and sends none to a target that is shutting down.
 ///
-/// Invariants: never more requests at the target than its slots; NotRun is answered only if the target did
-/// not get the request or said that it did not run it.
+/// Invariants: never more requests in flight at the target than it has slots; NotRun is answered only if the
+/// target did not receive the request or reported that it did not run it.
 class TargetGate {
  public:
-  /// How long after a request's deadline the target's own word on it is waited for.
+  /// How long after a request's deadline the gate still waits for the target's own result.
   static constexpr Duration kAnswerGrace = std::chrono::milliseconds(30);
 
   using Answer = std::function<void(const GateAsker&, wire::ForwardReplyT)>;
@@ -49,49 +49,58 @@
   const TargetState& target() const { return target_; }
 
   void admit(const GateAsker& asker, ForwardRequestPointer request, TimePoint now);
-  /// Refuses the request if admit() would refuse it at once. @return true if so.
+  /// Refuses the request if admit() would refuse it at once.
+  /// @return true if it was refused.
   bool refuseNow(const GateAsker& asker, const wire::ForwardRequestT& request, TimePoint now);
-  /// Answers that the request has not run and will not.
-  /// @param least_wait when to come back at the earliest, if something else than the slots binds.
+  /// Answers NotRun: the request has not run and will not.
+  /// @param min_wait lower bound of the retry delay, for limits other than the slots.
   void refuse(const GateAsker& asker, const wire::ForwardRequestT& request, wire::NotRunReason reason,
-              TimePoint now, Duration least_wait = Duration::zero());
-  /// @return true if new requests are refused since the target or this sidecar leaves.
+              TimePoint now, Duration min_wait = Duration::zero());
+  /// @return true if new requests are refused because the target or this sidecar is shutting down.
   bool isLeaving(TimePoint now) const;
   void cancel(const GateAsker& asker, TimePoint now);
-  /// All requests of one link are given up.
+  /// Cancels all requests that were received over the link.
   void cancelLink(runtime::LinkId link, TimePoint now);
   void onResult(RunId id, RunResult result, TimePoint now);
   void onProbed(ProbeOutcome outcome, TimePoint now);
-  /// How the targets of the service start, from the configuration in force.
+  /// Sets the cold-start limits of the service from the current configuration.
   void setColdStart(const mesh::ColdStart& start, TimePoint now);
-  /// A heartbeat of the target has come.
   void onHeartbeat(const Heartbeat& beat, TimePoint now);
-  /// The target was asked for its health.
+  /// Handles the response to a health check of the target.
   void onHealth(const TargetHealth& health, TimePoint now);
-  /// The target may have become cold unseen: it is asked, and gets no more than a cold one bears until then.
+  /// Treats the target as cold, because it may have restarted unnoticed: until a health check shows
+  /// otherwise, it gets no more requests than a cold target can handle.
+  /// @param cause is logged.
   void doubtWarmth(const char* cause, TimePoint now);
-  /// @return time until the target is warm, as far as is known; zero if it is, or if cold ones have no bound.
+  /// @return the known or presumed time until the target is warm; zero if it is, or if the service has no
+  /// limit for cold targets.
   Duration coldTime(TimePoint now) const;
-  /// @return the same as the target says itself: no doubt counts.
-  Duration toldColdTime(TimePoint now) const;
-  /// @return true if the target is to be asked for its health now; the question is noted.
-  bool takeHealthQuestion(TimePoint now);
-  /// The target gets no new requests from now on, or gets them again, because of its version.
+  /// @return the time until the target is warm as the target itself reported it, without the time for which
+  /// it is only presumed cold.
+  Duration reportedColdTime(TimePoint now) const;
+  /// Starts a health check if one is due. The caller sends the request.
+  /// @return true if it is due; it then counts as sent.
+  bool startHealthCheckIfDue(TimePoint now);
+  /// Stops new requests because of the target's version, or allows them again.
   void setVersionClosed(bool is_closed) { is_version_closed_ = is_closed; }
-  /// The target's zone is evacuated from now on, or in use again: then new requests are passed on, or refused
-  /// after the time in which senders hear of it. What runs goes on.
+  /// Starts or ends the evacuation of the target's zone. During an evacuation new requests are passed on
+  /// elsewhere, or refused once the grace period in which senders learn of it is over. Requests that already
+  /// run continue.
   void setEvacuated(bool is_evacuated, TimePoint now);
   bool isEvacuated() const { return evacuated_since_.has_value(); }
-  /// @return true if new requests are refused because of the target's version or zone, or since it leaves.
-  bool isClosed(TimePoint now) const { return is_version_closed_ || refusesForZone(now) || isLeaving(now); }
+  /// @return true if new requests are refused because of the target's version or zone, or because of a
+  /// shutdown.
+  bool isClosed(TimePoint now) const {
+    return is_version_closed_ || refusesAsEvacuated(now) || isLeaving(now);
+  }
   RunSamples& samples() { return samples_; }
-  /// Requests are refused from now on whose route, by this configuration, is not served in this region.
+  /// Sets the configuration: requests are refused whose route it does not serve in this region.
   void setRoutes(mesh::RouteTablePointer table) { routes_ = std::move(table); }
-  /// The target's state may have changed.
+  /// To be called after any change of target().
   void onTargetChanged(TimePoint now);
-  /// New requests are refused from then on, as this sidecar stops.
+  /// Refuses new requests from that time on, because this sidecar shuts down.
   void closeAt(TimePoint time) { close_at_ = time; }
-  /// @return the time that the target usually takes for a request; zero before the first.
+  /// @return the smoothed run time of a request at the target; zero before the first result.
   Duration usualRunTime() const { return Duration(static_cast<Duration::rep>(mean_run_time_)); }
 
   void onTimer(TimePoint now);
@@ -101,78 +110,79 @@
   unsigned waiting() const { return static_cast<unsigned>(waiting_.size()); }
 
  private:
-  /// The most urgent first, then the one that can wait the least.
-  struct Place {
+  /// Sorts the queue by urgency, then by the latest permitted start.
+  struct QueueKey {
     unsigned priority = 0;
     TimePoint start_by;
     std::uint64_t number = 0;
-    friend auto operator<=>(const Place&, const Place&) = default;  // NOLINT(modernize-use-nullptr)
+    friend auto operator<=>(const QueueKey&, const QueueKey&) = default;  // NOLINT(modernize-use-nullptr)
   };
-  struct Waiting {
+  struct QueuedRequest {
     GateAsker asker;
     ForwardRequestPointer request;
-    TimePoint came;
+    TimePoint arrived_at;
     TimePoint deadline;
-    /// The request is refused if it has no slot by then.
+    /// The request is refused if it has no slot by this time.
     TimePoint start_by;
   };
-  struct Running {
+  struct RunningRequest {
     GateAsker asker;
     ForwardRequestPointer request;
     TimePoint started;
     TimePoint deadline;
-    /// The target was slow from its start when the run began.
+    /// The target was still warming up when the run began.
     bool was_cold = false;
-    /// It yielded when it began, and counts among those that do until it ends.
+    /// The request yielded to others when it began; it counts as a yielding one until it ends.
     bool yields = false;
-    /// Of the target that got it.
+    /// The target that received the request.
     mesh::Incarnation incarnation;
   };
 
-  bool refusesForZone(TimePoint now) const {
+  bool refusesAsEvacuated(TimePoint now) const {
     return evacuated_since_ && now >= *evacuated_since_ + options_.leaving_grace;
   }
-  /// @return true if the newest configuration lets the request's route be served in this region, as far as
-  /// the route is named.
-  bool isServedHere(const wire::ForwardRequestT& request) const;
-  std::optional<wire::NotRunReason> refusalOf(const wire::ForwardRequestT& request, TimePoint now) const;
-  /// @return true if requests came lately that yield to such a one.
-  bool isYieldedTo(const wire::ForwardRequestT& request, TimePoint now) const;
-  /// @return how long a request that comes now may wait for a slot.
-  Duration patienceFor(const wire::ForwardRequestT& request, TimePoint now) const;
-  /// @return where a request that comes now would wait.
-  Place placeOf(const wire::ForwardRequestT& request, TimePoint now) const;
-  /// @return the expected wait of a request behind so many others that wait.
-  Duration expectedWait(std::size_t ahead) const;
+  /// @return true if the current configuration serves the request's route in this region, or does not name
+  /// the route.
+  bool isServedInRegion(const wire::ForwardRequestT& request) const;
+  std::optional<wire::NotRunReason> refusalReason(const wire::ForwardRequestT& request, TimePoint now) const;
+  /// @return true if less urgent requests with a much longer objective arrived recently.
+  bool hasPrecedence(const wire::ForwardRequestT& request, TimePoint now) const;
+  /// @return the longest time that a request which arrives now may wait for a slot.
+  Duration maxQueueTime(const wire::ForwardRequestT& request, TimePoint now) const;
+  /// @return the position in the queue of a request that arrives now.
+  QueueKey queueKeyOf(const wire::ForwardRequestT& request, TimePoint now) const;
+  /// @return the expected wait for a slot behind `ahead` queued requests.
+  Duration estimateSlotWait(std::size_t ahead) const;
   bool isFullFor(const wire::ForwardRequestT& request, TimePoint now) const;
-  /// @return true if the target is cold and gets what it bears.
+  /// @return true if the target is cold and has used up its limit for now.
   bool isColdLimited(TimePoint now) const;
-  /// @return the least time until a request behind so many others may go to the target.
-  Duration waitFor(std::size_t ahead, TimePoint now) const;
-  /// @return when cold requests that wait may go on, or the target is to be asked.
+  /// @return the expected wait behind `ahead` queued requests, for a slot and for the limit of a cold target.
+  Duration estimateWait(std::size_t ahead, TimePoint now) const;
+  /// @return when queued requests may be sent to a cold target, or when a health check is due.
   TimePoint nextColdTimer() const;
-  /// @return why a request is refused that cannot wait for its turn.
-  wire::NotRunReason reasonForFull(TimePoint now) const;
+  /// @return the reason for refusing a request that would wait too long.
+  wire::NotRunReason capacityRefusalReason(TimePoint now) const;
   unsigned slots() const;
-  /// @return true if requests come that have a much shorter objective.
-  bool isLong(const wire::ForwardRequestT& request) const;
-  /// @return true if requests come that have a much shorter objective and are more urgent.
+  /// @return true if requests with a much shorter objective arrived recently.
+  bool hasLongObjective(const wire::ForwardRequestT& request) const;
+  /// @return true if requests with a much shorter objective and a higher urgency arrived recently.
   bool yields(const wire::ForwardRequestT& request) const;
-  /// @return slots that requests which yield may take together: the others' offered load is kept for them.
+  /// @return how many slots yielding requests may occupy together; the rest is reserved for the offered load
+  /// of the others.
   unsigned slotsForYielding(TimePoint now) const;
   bool hasSlotFor(const wire::ForwardRequestT& request, TimePoint now) const;
-  void noteObjective(const wire::ForwardRequestT& request, TimePoint now);
+  void recordObjective(const wire::ForwardRequestT& request, TimePoint now);
   void start(const GateAsker& asker, const ForwardRequestPointer& request, TimePoint deadline, TimePoint now);
   void startWaiting(TimePoint now);
-  void noteOutcome(const Running& run, const wire::ForwardReplyT& reply, TimePoint now);
-  /// A run was given up: it would have taken longer than it had so far.
-  void noteGivenUp(const Running& run, TimePoint now);
-  void noteRunTime(const Running& run, TimePoint now);
-  void noteEnd(const Running& run, const wire::ForwardReplyT& reply, TimePoint now);
+  void recordOutcome(const RunningRequest& run, const wire::ForwardReplyT& reply, TimePoint now);
+  /// Records a cancelled run as a lower bound of its run time: it would have taken longer than it had so far.
+  void recordAbandoned(const RunningRequest& run, TimePoint now);
+  void recordRunTime(const RunningRequest& run, TimePoint now);
+  void recordEnd(const RunningRequest& run, const wire::ForwardReplyT& reply, TimePoint now);
   void reply(const GateAsker& asker, wire::ForwardReplyT reply, TimePoint now);
-  /// Tells the watch over the target what came of a run.
-  void watchResult(const Running& run, const RunResult& result, TimePoint now);
-  void noteEndOfTarget(const std::optional<TargetEnd>& end, TimePoint now);
+  /// Passes the result of a run to the crash detection and the quarantine.
+  void reportToWatch(const RunningRequest& run, const RunResult& result, TimePoint now);
+  void recordTargetEnd(const std::optional<TargetEnd>& end, TimePoint now);
   std::vector<TargetWatch::Run> runsAtTarget() const;
 
   const SidecarOptions& options_;
@@ -181,43 +191,42 @@
   Answer answer_;
   TargetState target_;
   GateMetrics metrics_;
-  std::map<Place, Waiting> waiting_;
-  std::map<RunId, Running> running_;
+  std::map<QueueKey, QueuedRequest> waiting_;
+  std::map<RunId, RunningRequest> running_;
   std::uint64_t next_number_ = 1;
   std::uint64_t next_run_ = 1;
-  /// Smoothed time that the target takes for a request, in microseconds.
+  /// Smoothed run time of a request in microseconds.
   double mean_run_time_ = 0;
-  /// Smoothed time that the target takes for a request as a share of the request's objective; 0 before the
-  /// first.
+  /// Smoothed run time as a share of the request's objective; 0 before the first result.
   double relative_run_time_ = 0;
-  /// Smoothed share of runs that ended without a whole answer.
+  /// Smoothed share of runs that ended without a complete answer.
   double failure_rate_ = 0;
-  /// Of a planned stop of this sidecar.
+  /// When a planned stop of this sidecar begins to refuse requests.
   TimePoint close_at_ = TimePoint::max();
   bool is_version_closed_ = false;
-  /// Of the target's zone.
+  /// When the evacuation of the target's zone began.
   std::optional<TimePoint> evacuated_since_;
   mesh::RouteTablePointer routes_;
   RunSamples samples_;
-  /// The shortest objective that came lately, in milliseconds; a large number for none.
+  /// The shortest recent objective in milliseconds; UINT32_MAX for none.
   std::uint32_t shortest_objective_ms_ = UINT32_MAX;
   unsigned shortest_priority_ = 0;
   TimePoint shortest_seen_at_;
-  /// When a request came last that yields to others.
+  /// When the last request arrived that yields to others.
   std::optional<TimePoint> yielding_seen_at_;
-  /// Of the requests that do not yield to others.
-  OfferedLoad short_load_;
+  /// Offered load of the requests that do not yield to others.
+  OfferedLoad non_yielding_load_;
   TargetWarmth warmth_;
-  /// The target that warmth_ is of.
-  mesh::Incarnation warmth_of_;
+  /// The incarnation that warmth_ describes.
+  mesh::Incarnation warmth_incarnation_;
   ColdRateLimit cold_limit_;
-  /// Of the newest heartbeat; none from the doubt for the lack of one on.
-  std::optional<TimePoint> beaten_at_;
-  /// Of the newest event.
+  /// When the newest heartbeat arrived; unset once the target is presumed cold for lack of one.
+  std::optional<TimePoint> last_heartbeat_at_;
+  /// Time of the newest event.
   TimePoint now_;
   TargetWatch watch_;
-  /// The target that failure_rate_ is of.
-  mesh::Incarnation rated_;
+  /// The incarnation that failure_rate_ describes.
+  mesh::Incarnation failure_rate_incarnation_;
 };
 
 }  // namespace cometstand::sidecar
--- a/tests/sidecar/cold_gate_test.cpp
+++ b/tests/sidecar/cold_gate_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr double kRate = 14;
 
-/// A gate whose target has 18 slots, of a service that bounds its cold targets.
+/// A gate before a target with 18 slots whose service limits cold targets.
 class ColdGateFixture {
  public:
   ColdGateFixture()
@@ -55,13 +55,14 @@
       now = std::max(now, gate.nextTimer());
       gate.onTimer(now);
       answerAll();
-      if (gate.takeHealthQuestion(now)) ++questions;
+      if (gate.startHealthCheckIfDue(now)) ++health_checks;
     }
     now = end;
   }
 
-  /// Offers ten times what a cold target bears. @return the runs that began.
-  std::size_t press(Duration time) {
+  /// Offers ten times the load that a cold target can handle.
+  /// @return the number of runs that began.
+  std::size_t offerOverload(Duration time) {
     const std::size_t before = target.orders.size();
     for (const TimePoint end = now + time; now < end; pass(milliseconds(7))) admit();
     return target.orders.size() - before;
@@ -75,23 +76,26 @@
   TargetGate gate;
   std::uint64_t last_number = 0;
   std::size_t answered = 0;
-  unsigned questions = 0;
+  unsigned health_checks = 0;
 };
 
 }  // namespace
 
-TEST_CASE_METHOD(ColdGateFixture, "a cold target gets what it bears, a warm one all that it has slots for") {
+TEST_CASE_METHOD(ColdGateFixture,
+                 "a cold target gets its permitted rate, a warm one as much as its slots allow") {
   beat("a", 1, seconds(2));
-  const auto cold = press(milliseconds(1'900));
+  const auto cold = offerOverload(milliseconds(1'900));
   CHECK(cold >= 24);
   CHECK(cold <= 30);
   pass(milliseconds(100));
-  CHECK(press(seconds(1)) > 120);
+  CHECK(offerOverload(seconds(1)) > 120);
 }
 
-TEST_CASE_METHOD(ColdGateFixture, "what a cold target cannot take is refused at once, with when it is warm") {
+TEST_CASE_METHOD(
+    ColdGateFixture,
+    "requests beyond the limit of a cold target are refused at once, with its remaining cold time") {
   beat("a", 1, seconds(2));
-  press(milliseconds(500));
+  offerOverload(milliseconds(500));
   const auto number = admit();
   REQUIRE(replies.contains(number));
   const auto& reply = replies.at(number);
@@ -102,9 +106,9 @@
   CHECK(reply.cold_ms <= 1'520);
 }
 
-TEST_CASE_METHOD(ColdGateFixture, "the most urgent requests get the room of a cold target") {
+TEST_CASE_METHOD(ColdGateFixture, "the most urgent requests are sent first to a cold target") {
   beat("a", 1, seconds(2));
-  press(milliseconds(500));
+  offerOverload(milliseconds(500));
   while (!replies.contains(admit(2))) {
   }
   const auto urgent = admit(0);
@@ -115,32 +119,34 @@
   CHECK(target.orders[before].request->request_id == "r" + std::to_string(urgent));
 }
 
-TEST_CASE_METHOD(ColdGateFixture, "a target that turns cold without ending is bounded from its word on") {
+TEST_CASE_METHOD(ColdGateFixture,
+                 "a target that turns cold without restarting is limited from its heartbeat on") {
   beat("a", 1, Duration::zero());
-  press(seconds(1));
+  offerOverload(seconds(1));
   beat("a", 2, seconds(3));
-  // The last second was full: nothing may follow before it has passed.
-  CHECK(press(milliseconds(900)) == 0);
-  CHECK(press(seconds(1)) <= 29);
+  // The limit of the last second is used up, so nothing may follow before it has passed.
+  CHECK(offerOverload(milliseconds(900)) == 0);
+  CHECK(offerOverload(seconds(1)) <= 29);
 }
 
-TEST_CASE_METHOD(
-    ColdGateFixture,
-    "a target that refuses connections is asked, and gets little until it says that it is warm") {
+TEST_CASE_METHOD(ColdGateFixture,
+                 "a target that refuses connections gets a health check, and is limited until it reports "
+                 "that it is warm") {
   beat("a", 1, Duration::zero());
   admit();
-  RunResult nobody;
-  nobody.reply.outcome = ForwardOutcome::NotRun;
-  nobody.reply.reason = NotRunReason::TargetDown;
-  gate.onResult(target.orders.back().id, nobody, now);
+  RunResult unreachable;
+  unreachable.reply.outcome = ForwardOutcome::NotRun;
+  unreachable.reply.reason = NotRunReason::TargetDown;
+  gate.onResult(target.orders.back().id, unreachable, now);
   answered = target.orders.size();
-  CHECK(gate.takeHealthQuestion(now));
-  CHECK(press(seconds(1)) <= 17);
+  CHECK(gate.startHealthCheckIfDue(now));
+  CHECK(offerOverload(seconds(1)) <= 17);
   gate.onHealth({true, "a", 18, Duration::zero()}, now);
-  CHECK(press(seconds(1)) > 120);
+  CHECK(offerOverload(seconds(1)) > 120);
 }
 
-TEST_CASE_METHOD(ColdGateFixture, "a target that ended counts as cold though the old heartbeat said warm") {
+TEST_CASE_METHOD(ColdGateFixture,
+                 "a target that ended counts as cold although its last heartbeat reported it as warm") {
   beat("a", 1, Duration::zero());
   admit();
   RunResult broken;
@@ -152,7 +158,7 @@
 }
 
 TEST_CASE_METHOD(ColdGateFixture,
-                 "a broken connection of a target that still listens is no reason to doubt it") {
+                 "a broken connection of a target that still listens does not make it count as cold") {
   beat("a", 1, Duration::zero());
   admit();
   RunResult broken;
@@ -162,60 +168,62 @@
   CHECK(gate.coldTime(now) == Duration::zero());
 }
 
-TEST_CASE_METHOD(ColdGateFixture, "a target without heartbeats is doubted and asked") {
+TEST_CASE_METHOD(ColdGateFixture, "a target without heartbeats counts as cold and gets a health check") {
   beat("a", 1, Duration::zero());
   pass(milliseconds(3'400));
-  CHECK(questions == 0);
+  CHECK(health_checks == 0);
   pass(milliseconds(200));
-  CHECK(questions == 1);
+  CHECK(health_checks == 1);
   CHECK(gate.coldTime(now) > Duration::zero());
 }
 
-TEST_CASE_METHOD(ColdGateFixture, "the first answer of a target that does not say counts as cold") {
+TEST_CASE_METHOD(ColdGateFixture, "a target whose first health response gives no cold time counts as cold") {
   gate.target().onReadyWhenAsked("a", "shop", 18);
   gate.onHealth({true, "a", 18, std::nullopt}, now);
   CHECK(gate.coldTime(now) == seconds(3));
 }
 
 TEST_CASE_METHOD(ColdGateFixture,
-                 "the first answer of a target beside a sidecar that starts tells how cold it is") {
+                 "the first health response after the start of a sidecar gives the cold time of its target") {
   gate.target().onReadyWhenAsked("a", "shop", 18);
   gate.onHealth({true, "a", 18, milliseconds(700)}, now);
   CHECK(gate.coldTime(now) == milliseconds(720));
 }
 
-TEST_CASE_METHOD(ColdGateFixture, "a target that leaves, or was not heard of, is neither doubted nor asked") {
+TEST_CASE_METHOD(ColdGateFixture,
+                 "a target that shuts down or is unknown does not count as cold and gets no health check") {
   gate.doubtWarmth("test", now);
   CHECK(gate.coldTime(now) == Duration::zero());
   beat("a", 1, Duration::zero());
   gate.target().onDeregistered({"a"}, now);
   pass(seconds(8));
-  CHECK(questions == 0);
+  CHECK(health_checks == 0);
 }
 
-TEST_CASE_METHOD(ColdGateFixture, "a service without a rate for cold targets is served as before") {
+TEST_CASE_METHOD(ColdGateFixture, "targets of a service without a cold rate are not limited") {
   gate.setColdStart({}, now);
   beat("a", 1, seconds(3));
-  CHECK(press(seconds(1)) > 120);
+  CHECK(offerOverload(seconds(1)) > 120);
   gate.doubtWarmth("test", now);
-  CHECK_FALSE(gate.takeHealthQuestion(now));
+  CHECK_FALSE(gate.startHealthCheckIfDue(now));
   CHECK(gate.coldTime(now) == Duration::zero());
 }
 
 namespace {
 
-/// Gates before targets that end under more than a cold one bears, and come back cold.
+/// A simulated fleet of gates whose targets crash under more load than a cold one can handle, and restart
+/// cold.
 class ColdFleet {
  public:
   static constexpr std::size_t kTargets = 8;
   static constexpr unsigned kSlots = 4;
   static constexpr Duration kWarmRun = milliseconds(100);
   static constexpr Duration kColdTime = seconds(3);
-  static constexpr Duration kDown = milliseconds(500);
+  static constexpr Duration kRestartTime = milliseconds(500);
   static constexpr double kColdRate = 10;
-  /// A cold target ends under more requests in a second.
-  static constexpr std::size_t kFatal = 15;
-  /// All targets together, warm, in requests a second.
+  /// A cold target crashes when it gets more requests than this within a second.
+  static constexpr std::size_t kFatalRequestsPerSecond = 15;
+  /// Capacity of all warm targets together, in requests per second.
   static constexpr double kCapacity = kTargets * kSlots * 10;
 
   explicit ColdFleet(bool is_bounded) {
@@ -226,7 +234,7 @@
     }
   }
 
-  /// Offers twice what the fleet bears when it is warm; who is refused comes back when he was told.
+  /// Offers twice the capacity of the warm fleet in new requests; refused ones are dropped.
   void runFor(Duration time) {
     const Duration interval = std::chrono::duration_cast<Duration>(seconds(1) / (2 * kCapacity));
     for (const TimePoint end = now_ + time; now_ < end;) {
@@ -267,7 +275,7 @@
     bool is_up = true;
     bool probed = false;
     TimePoint cold_until;
-    TimePoint back_at;
+    TimePoint restarts_at;
     std::deque<TimePoint> arrivals;
     std::map<RunId, TimePoint> runs;
     TargetGate gate;
@@ -296,7 +304,7 @@
   void endTarget(Machine& machine) {
     ++ended;
     machine.is_up = false;
-    machine.back_at = now_ + kDown;
+    machine.restarts_at = now_ + kRestartTime;
     const auto runs = std::exchange(machine.runs, {});
     for (const auto& [id, end] : runs) {
       RunResult broken;
@@ -316,7 +324,7 @@
   }
 
   void step(Machine& machine) {
-    if (!machine.is_up && now_ >= machine.back_at) startTarget(machine);
+    if (!machine.is_up && now_ >= machine.restarts_at) startTarget(machine);
     if (machine.is_up && now_ >= machine.beat_at) beat(machine);
     if (std::exchange(machine.probed, false)) {
       machine.gate.onProbed(machine.is_up ? ProbeOutcome::Accepted : ProbeOutcome::Refused, now_);
@@ -324,7 +332,7 @@
     while (!machine.arrivals.empty() && machine.arrivals.front() + seconds(1) <= now_)
       machine.arrivals.pop_front();
     const bool is_cold = now_ < machine.cold_until;
-    if (machine.is_up && is_cold && machine.arrivals.size() > kFatal) endTarget(machine);
+    if (machine.is_up && is_cold && machine.arrivals.size() > kFatalRequestsPerSecond) endTarget(machine);
     finishRuns(machine);
     if (machine.gate.nextTimer() <= now_) machine.gate.onTimer(now_);
   }
@@ -358,7 +366,7 @@
 
 }  // namespace
 
-TEST_CASE("a fleet of cold targets under twice its load recovers within the cold time and two seconds") {
+TEST_CASE("a cold fleet under twice its capacity recovers within the cold time and two seconds") {
   ColdFleet fleet(true);
   fleet.runFor(ColdFleet::kColdTime + seconds(1));
   fleet.served = 0;
@@ -367,7 +375,7 @@
   CHECK(static_cast<double>(fleet.served) >= 0.9 * ColdFleet::kCapacity);
 }
 
-TEST_CASE("without the bound the same fleet ends again and again") {
+TEST_CASE("the same fleet without the limit crashes repeatedly") {
   ColdFleet fleet(false);
   fleet.runFor(seconds(10));
   const std::size_t before = fleet.ended;
--- a/tests/sidecar/cold_sidecar_test.cpp
+++ b/tests/sidecar/cold_sidecar_test.cpp
@@ -6,21 +6,21 @@
 
 namespace {
 
-/// The service bounds what its cold targets get.
-wire::MeshConfigurationT makeBoundedConfiguration() {
+/// A configuration whose service limits its cold targets.
+wire::MeshConfigurationT makeColdLimitConfiguration() {
   auto configuration = SidecarFixture::makeConfiguration();
   configuration.services.front()->cold_requests_per_second = 14;
   configuration.services.front()->cold_start_ms = 3'000;
   return configuration;
 }
 
-Heartbeat makeColdBeat(const std::string& instance, std::uint64_t sequence, Duration cold) {
+Heartbeat makeColdHeartbeat(const std::string& instance, std::uint64_t sequence, Duration cold) {
   auto beat = SidecarFixture::makeBeat(instance, sequence);
   beat.cold_remaining = cold;
   return beat;
 }
 
-/// @return a store's word on the own zone.
+/// @return a store's update on the evacuation of this sidecar's zone.
 wire::EvacuationUpdateT makeEvacuation(std::uint64_t number, bool is_evacuated) {
   wire::EvacuationUpdateT update;
   update.number = number;
@@ -32,8 +32,8 @@
   return update;
 }
 
-/// @return the newest record of the own endpoint that was reported to the store; nullptr if none was.
-std::shared_ptr<wire::EndpointRecordT> newestReport(const SidecarFixture& sidecar) {
+/// @return the newest record of this sidecar's endpoint that was reported to the store; nullptr if none was.
+std::shared_ptr<wire::EndpointRecordT> newestReportedRecord(const SidecarFixture& sidecar) {
   std::shared_ptr<wire::EndpointRecordT> newest;
   for (const auto& message : sidecar.sent) {
     const auto* update = message.message->body.AsEndpointUpdate();
@@ -44,24 +44,24 @@
 
 }  // namespace
 
-TEST_CASE("a target that turns cold without ending is told to the stores, and others learn for how long") {
+TEST_CASE("the cold time of a target that turns cold without restarting is reported to the stores") {
   SidecarFixture sidecar;
-  sidecar.configure(1, makeBoundedConfiguration());
-  sidecar.core.onHeartbeat(makeColdBeat("a", 1, Duration::zero()), sidecar.now);
+  sidecar.configure(1, makeColdLimitConfiguration());
+  sidecar.core.onHeartbeat(makeColdHeartbeat("a", 1, Duration::zero()), sidecar.now);
   sidecar.step();
-  CHECK(newestReport(sidecar)->cold_ms == 0);
-  sidecar.core.onHeartbeat(makeColdBeat("a", 2, seconds(2)), sidecar.now);
+  CHECK(newestReportedRecord(sidecar)->cold_ms == 0);
+  sidecar.core.onHeartbeat(makeColdHeartbeat("a", 2, seconds(2)), sidecar.now);
   sidecar.step();
-  CHECK(newestReport(sidecar)->cold_ms == 2'020);
-  // And that it is warm again.
+  CHECK(newestReportedRecord(sidecar)->cold_ms == 2'020);
+  // The end of the cold time is reported, too.
   sidecar.pass(milliseconds(2'600));
-  CHECK(newestReport(sidecar)->cold_ms == 0);
+  CHECK(newestReportedRecord(sidecar)->cold_ms == 0);
 }
 
-TEST_CASE("a sidecar that stood still asks its target, which may have started again") {
+TEST_CASE("a sidecar that was suspended checks the health of its target, which may have restarted") {
   SidecarFixture sidecar;
-  sidecar.configure(1, makeBoundedConfiguration());
-  sidecar.core.onHeartbeat(makeColdBeat("a", 1, Duration::zero()), sidecar.now);
+  sidecar.configure(1, makeColdLimitConfiguration());
+  sidecar.core.onHeartbeat(makeColdHeartbeat("a", 1, Duration::zero()), sidecar.now);
   sidecar.pass(seconds(1));
   sidecar.target.asked.clear();
   sidecar.now += seconds(3);
@@ -73,10 +73,10 @@
   CHECK(sidecar.core.targetColdTime() == Duration::zero());
 }
 
-TEST_CASE("a target whose evacuation ends is doubted and asked, though its last heartbeat said warm") {
+TEST_CASE("a target counts as cold and gets a health check when the evacuation of its zone ends") {
   SidecarFixture sidecar;
-  sidecar.configure(1, makeBoundedConfiguration());
-  sidecar.core.onHeartbeat(makeColdBeat("a", 1, Duration::zero()), sidecar.now);
+  sidecar.configure(1, makeColdLimitConfiguration());
+  sidecar.core.onHeartbeat(makeColdHeartbeat("a", 1, Duration::zero()), sidecar.now);
   sidecar.say(SidecarFixture::kStore, makeEvacuation(1, true));
   sidecar.pass(seconds(2));
   CHECK(sidecar.core.targetColdTime() == Duration::zero());
@@ -87,21 +87,20 @@
   CHECK(sidecar.target.asked.size() == 1);
 }
 
-TEST_CASE("a sidecar that starts beside a running target asks it before it gets anything") {
+TEST_CASE("a sidecar that starts beside a running target checks its health first") {
   SidecarFixture sidecar;
-  sidecar.configure(1, makeBoundedConfiguration());
+  sidecar.configure(1, makeColdLimitConfiguration());
   REQUIRE(sidecar.target.asked.size() == 1);
   sidecar.core.onHealth({true, "a", 2, milliseconds(1'200)}, sidecar.now);
   sidecar.step();
   CHECK(sidecar.core.targetColdTime() == milliseconds(1'220));
-  CHECK(newestReport(sidecar)->cold_ms == 1'220);
+  CHECK(newestReportedRecord(sidecar)->cold_ms == 1'220);
 }
 
 TEST_CASE(
-    "a cold endpoint without room is not asked again before it may have some, and callers hear when it is "
-    "warm") {
+    "a cold endpoint that refused a request gets none until its retry time, and callers get a retry delay") {
   SidecarFixture sidecar;
-  sidecar.configure(1, makeBoundedConfiguration());
+  sidecar.configure(1, makeColdLimitConfiguration());
   sidecar.addPeer(SidecarFixture::kPeer);
   const auto first = sidecar.call("/read/1");
   const auto sent = sidecar.forwardsTo(SidecarFixture::kPeer);
@@ -114,7 +113,7 @@
   sidecar.say(SidecarFixture::kPeer, refusal, sent.front());
   REQUIRE(sidecar.callers.answers.contains(first));
   CHECK(sidecar.callers.answers.at(first).outcome == CallOutcome::NotRun);
-  // The caller's own deadline is the route's second, of which callers wait for a third at most.
+  // The caller's deadline is the route's one second, and callers are told to wait for a third of it at most.
   CHECK(sidecar.callers.answers.at(first).retry_after >= milliseconds(333));
   const auto second = sidecar.call("/read/2");
   CHECK(sidecar.callers.answers.contains(second));
@@ -126,7 +125,7 @@
 
 TEST_CASE("warm endpoints are chosen before cold ones") {
   SidecarFixture sidecar;
-  sidecar.configure(1, makeBoundedConfiguration());
+  sidecar.configure(1, makeColdLimitConfiguration());
   sidecar.addPeer(SidecarFixture::kPeer);
   sidecar.addPeer(SidecarFixture::kOtherPeer);
   wire::EndpointUpdateT update;
--- a/tests/sidecar/quarantine_test.cpp
+++ b/tests/sidecar/quarantine_test.cpp
@@ -48,8 +48,8 @@
         sent, [](const auto& message) { return message.message->body.AsContentClearance() != nullptr; }));
   }
 
-  /// The target beside the sidecar gets a request by another one and ends under it.
-  void crashUnder(const std::string& path, const std::string& instance) {
+  /// Sends a request to the sidecar's own target, which ends while it has the request.
+  void crashTargetWith(const std::string& path, const std::string& instance) {
     core.onHeartbeat(makeBeat(instance, 1), now);
     step();
     addPeer(kPeer, wire::EndpointState::Leaving);
@@ -66,7 +66,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(QuarantineFixture, "a quarantined request is refused at once and sent nowhere") {
+TEST_CASE_METHOD(QuarantineFixture, "a quarantined request is refused at once and not forwarded") {
   say(kStore, makeUpdate("/read/x", wire::ContentState::Quarantined, 1));
   const auto refused = call("/read/x");
   CHECK(callers.answers.at(refused).outcome == CallOutcome::Quarantined);
@@ -78,7 +78,7 @@
 }
 
 TEST_CASE_METHOD(QuarantineFixture,
-                 "a sender that does not know is told by the gate, and asks no other endpoint") {
+                 "a sender without the quarantine entry is refused by the gate and tries no other endpoint") {
   const auto id = call("/read/x");
   auto numbers = forwardsTo(kPeer);
   const bool at_peer = !numbers.empty();
@@ -90,7 +90,7 @@
   CHECK(callers.answers.at(id).outcome == CallOutcome::Quarantined);
 }
 
-TEST_CASE_METHOD(QuarantineFixture, "a suspect that may have run is not sent a second time") {
+TEST_CASE_METHOD(QuarantineFixture, "a suspected request that may have run is not retried") {
   say(kStore, makeUpdate("/read/x", wire::ContentState::Suspected, 1));
   const auto id = call("/read/x");
   auto numbers = forwardsTo(kPeer);
@@ -101,7 +101,7 @@
 }
 
 TEST_CASE_METHOD(QuarantineFixture,
-                 "an update of a store that is behind changes nothing, and a release ends it") {
+                 "an update of a lagging store is ignored, and a release ends the quarantine") {
   say(kStore, makeUpdate("/read/x", wire::ContentState::Quarantined, 5));
   say(kStore, makeUpdate("/read/x", wire::ContentState::Released, 4));
   CHECK(callers.answers.at(call("/read/x")).outcome == CallOutcome::Quarantined);
@@ -109,8 +109,9 @@
   CHECK_FALSE(callers.answers.contains(call("/read/x")));
 }
 
-TEST_CASE_METHOD(QuarantineFixture, "the end of the target is reported until a store has the report") {
-  crashUnder("/read/x", "a");
+TEST_CASE_METHOD(QuarantineFixture,
+                 "the end of the target is reported until a store acknowledges the report") {
+  crashTargetWith("/read/x", "a");
   const auto first = reports();
   REQUIRE(first.size() == 1);
   CHECK(first.at(0).instance == "a");
@@ -124,20 +125,21 @@
   CHECK(reports().empty());
 }
 
-TEST_CASE_METHOD(QuarantineFixture, "what the target has run to its end lately is no suspect when it ends") {
+TEST_CASE_METHOD(QuarantineFixture,
+                 "requests that the target completed recently are not suspected when it ends") {
   std::size_t reported = 0;
-  Quarantine noting([&reported](const runtime::MessagePointer& message) {
+  Quarantine tested([&reported](const runtime::MessagePointer& message) {
     reported += message->body.AsCrashReport()->suspects.size();
   });
-  noting.onRunToEnd(*makeRequest("/read/popular"), {"a"}, now);
-  noting.onTargetEnded({{"a"}, {makeRequest("/read/popular"), makeRequest("/read/x")}}, "shop", now);
+  tested.onCompleted(*makeRequest("/read/popular"), {"a"}, now);
+  tested.onTargetEnded({{"a"}, {makeRequest("/read/popular"), makeRequest("/read/x")}}, "shop", now);
   CHECK(reported == 1);
-  // The next target has shown nothing yet.
-  noting.onTargetEnded({{"b"}, {makeRequest("/read/popular")}}, "shop", now + std::chrono::seconds(1));
+  // The next target has not completed the request yet.
+  tested.onTargetEnded({{"b"}, {makeRequest("/read/popular")}}, "shop", now + std::chrono::seconds(1));
   CHECK(reported == 2);
 }
 
-TEST_CASE_METHOD(QuarantineFixture, "a suspect that has run to its end is reported as cleared") {
+TEST_CASE_METHOD(QuarantineFixture, "a suspected request that completes is reported as cleared") {
   say(kStore, makeUpdate("/read/x", wire::ContentState::Suspected, 3));
   core.onHeartbeat(makeBeat("a", 1), now);
   step();
--- a/tests/sidecar/target_gate_test.cpp
+++ b/tests/sidecar/target_gate_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// The gate of one target with two slots; the default asker is link 1.
+/// The gate of one target with two slots. Requests come from link 1.
 class GateFixture {
  public:
   GateFixture()
@@ -45,14 +45,14 @@
 
 }  // namespace
 
-TEST_CASE("a target that was not heard of gets nothing") {
+TEST_CASE("a target that has sent no heartbeat gets no requests") {
   GateFixture fixture;
   fixture.admit(1);
   CHECK(fixture.replies.at(1).outcome == ForwardOutcome::NotRun);
   CHECK(fixture.replies.at(1).reason == NotRunReason::TargetDown);
 }
 
-TEST_CASE("a target gets no more requests than it has slots, the most urgent first") {
+TEST_CASE("a target has at most one request per slot in flight, and the most urgent queued one is next") {
   GateFixture fixture;
   fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 1), fixture.now);
   for (std::uint64_t number = 1; number <= 3; ++number) fixture.admit(number, 2);
@@ -64,7 +64,7 @@
   CHECK(fixture.target.orders[2].request->request_id == "r4");
 }
 
-TEST_CASE("a request that waits too long for a slot is refused as not run") {
+TEST_CASE("a request whose queue time limit expires is refused as not run") {
   GateFixture fixture;
   fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 1), fixture.now);
   for (std::uint64_t number = 1; number <= 3; ++number) fixture.admit(number);
@@ -75,13 +75,13 @@
   CHECK(fixture.replies.at(3).retry_after_ms > 0);
 }
 
-TEST_CASE("a leaving target gets nothing after the grace, and never counts as ready again") {
+TEST_CASE("a target that shuts down gets no requests after the grace period, and never becomes ready again") {
   GateFixture fixture;
   fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 5), fixture.now);
   fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 7, false), fixture.now);
   fixture.admit(1);
   CHECK(fixture.target.orders.size() == 1);
-  // A heartbeat of before comes late, and a wrong one comes after.
+  // One heartbeat from before the shutdown arrives late; another, after it, wrongly reports ready.
   fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 6), fixture.now);
   fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 8), fixture.now);
   fixture.now += fixture.options.leaving_grace;
@@ -90,7 +90,7 @@
   CHECK(fixture.replies.at(2).reason == NotRunReason::Leaving);
 }
 
-TEST_CASE("a target that only says that it is gone gets nothing after the grace") {
+TEST_CASE("a target that only deregisters gets no requests after the grace period") {
   GateFixture fixture;
   fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 1), fixture.now);
   fixture.gate.target().onDeregistered({"a"}, fixture.now);
@@ -99,7 +99,7 @@
   CHECK(fixture.target.orders.empty());
 }
 
-TEST_CASE("heartbeats of an instance that another followed change nothing") {
+TEST_CASE("heartbeats of a replaced instance are ignored") {
   GateFixture fixture;
   auto& state = fixture.gate.target();
   state.onHeartbeat(SidecarFixture::makeBeat("a", 9), fixture.now);
@@ -109,7 +109,8 @@
   CHECK(state.condition() == TargetCondition::Ready);
 }
 
-TEST_CASE("a target that answers as another instance gets nothing until that one is heard") {
+TEST_CASE(
+    "a target that answers as another instance gets no requests until that instance sends a heartbeat") {
   GateFixture fixture;
   auto& state = fixture.gate.target();
   state.onHeartbeat(SidecarFixture::makeBeat("a", 1), fixture.now);
@@ -122,9 +123,9 @@
   CHECK(fixture.target.orders.size() == 1);
 }
 
-// wn-mesh, the incident of 2026-12-02: targets that broke off their answers looked idle and drew the most
-// requests.
-TEST_CASE("the gate tells how many of its target's runs fail, and a failing endpoint is chosen last") {
+// Guards against targets that break off their answers: they look idle, and attracted the most requests in an
+// incident.
+TEST_CASE("the gate reports the failure rate of its target, and a failing endpoint is chosen last") {
   GateFixture fixture;
   fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 1), fixture.now);
   for (std::uint64_t number = 1; number <= 20; ++number) {
@@ -146,14 +147,14 @@
   CHECK(sidecar.forwardsTo(SidecarFixture::kOtherPeer).size() == 2);
 }
 
-TEST_CASE("the gate tells how long its target takes, as a share of the requests' objectives") {
+TEST_CASE("the gate reports its target's run time as a share of the requests' objectives") {
   GateFixture fixture;
   fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 1), fixture.now);
   fixture.admit(1);
   fixture.now += milliseconds(200);
   fixture.finish(0);
   CHECK(fixture.replies.at(1).run_time_permille == 500);
-  // A run that its asker gave up after three objectives tells that the target is slower than it seemed.
+  // A run that its sender cancels after three objectives shows that the target is slower than it seemed.
   fixture.admit(2, 1, 5'000);
   fixture.now += milliseconds(1'200);
   fixture.gate.cancel({runtime::LinkId{1}, 2}, fixture.now);
@@ -161,16 +162,18 @@
   CHECK(fixture.replies.at(3).run_time_permille == 750);
 }
 
-// steppe-record, scale-1: long requests held all slots but one of the targets that were left, and the short
-// calls of other targets, without which their own runs fail, were refused.
-// wn-mesh, trouble-1 with few targets left: long requests got half of the slots and a third of their worth.
-TEST_CASE("no more than a third of the slots are kept from long requests") {
+// Guards against two faults with few targets left. Without the reserve, long requests held all slots but one
+// of the remaining targets; short calls from other targets were refused, and the runs that needed those calls
+// failed. With too large a reserve, long requests got half of the slots and reached a third of
+// their goodput.
+TEST_CASE("at most a third of the slots are reserved from long requests") {
   constexpr std::uint32_t kDeadline = 6'000;
   GateFixture fixture;
   auto beat = SidecarFixture::makeBeat("a", 1);
   beat.slots = 6;
   fixture.gate.target().onHeartbeat(beat, fixture.now);
-  // A hundred a second of 100 ms each, far more than there is room for; all end at once in the end.
+  // 100 requests per second of 100 ms each, far more than the slots can serve; all have ended before the
+  // check.
   std::uint64_t number = 0;
   for (int i = 0; i < 200; ++i) {
     fixture.admit(++number, 1, kDeadline, 200);
@@ -186,7 +189,7 @@
   CHECK(fixture.gate.running() == 4);
 }
 
-TEST_CASE("as many slots are kept from long requests as shorter and more urgent ones need") {
+TEST_CASE("slots are reserved from long requests for the offered load of shorter and more urgent ones") {
   constexpr std::uint32_t kShort = 200;
   constexpr std::uint32_t kLong = 2'500;
   constexpr std::uint32_t kDeadline = 6'000;
@@ -194,7 +197,7 @@
   auto beat = SidecarFixture::makeBeat("a", 1);
   beat.slots = 6;
   fixture.gate.target().onHeartbeat(beat, fixture.now);
-  // Twenty a second of 100 ms each: two slots.
+  // 20 requests per second of 100 ms each occupy two slots.
   std::uint64_t number = 0;
   for (int i = 0; i < 60; ++i) {
     fixture.admit(++number, 1, kDeadline, kShort);
@@ -207,14 +210,14 @@
     for (int i = 0; i < 6; ++i) fixture.admit(++number, priority, kDeadline, objective_ms);
     return fixture.gate.running();
   };
-  SECTION("less urgent long ones leave them") { CHECK(admit_all(2, kLong) == 4); }
-  SECTION("those that short ones use already are not kept a second time") {
+  SECTION("less urgent long requests do not use the reserved slots") { CHECK(admit_all(2, kLong) == 4); }
+  SECTION("slots that short requests occupy already are not reserved a second time") {
     fixture.admit(++number, 1, kDeadline, kShort);
     fixture.admit(++number, 1, kDeadline, kShort);
     CHECK(admit_all(2, kLong) == 6);
   }
-  SECTION("as urgent long ones do not") { CHECK(admit_all(1, kLong) == 6); }
-  SECTION("short ones take all") { CHECK(admit_all(1, kShort) == 6); }
+  SECTION("equally urgent long requests use all slots") { CHECK(admit_all(1, kLong) == 6); }
+  SECTION("short requests use all slots") { CHECK(admit_all(1, kShort) == 6); }
 }
 
 TEST_CASE("a request for another service is refused as not run") {
@@ -226,7 +229,7 @@
   CHECK(fixture.replies.at(1).reason == NotRunReason::WrongTarget);
 }
 
-TEST_CASE("requests of a link that ended are given up, waiting and running ones") {
+TEST_CASE("queued and running requests of a closed link are cancelled") {
   GateFixture fixture;
   fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 1), fixture.now);
   for (std::uint64_t number = 1; number <= 3; ++number) fixture.admit(number);
@@ -236,7 +239,7 @@
   CHECK(fixture.gate.running() == 0);
 }
 
-TEST_CASE("a target that says nothing is given up a little after the deadline, and the outcome is unknown") {
+TEST_CASE("a run without a result is cancelled shortly after its deadline, with an unknown outcome") {
   GateFixture fixture;
   fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 1), fixture.now);
   fixture.admit(1, 1, 100);
@@ -249,10 +252,11 @@
   CHECK(fixture.target.cancelled.size() == 1);
 }
 
-TEST_CASE("a request that can wait less goes before others of its priority, and is not refused for them") {
+TEST_CASE(
+    "a request with a shorter queue time limit is served before others of its priority and not refused") {
   GateFixture fixture;
   fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 1), fixture.now);
-  // The target takes 100 ms for a run, so that those who wait behind three others wait longer than they may.
+  // A run takes 100 ms, so a request behind three others would wait longer than its limit.
   for (std::uint64_t number = 1; number <= 2; ++number) fixture.admit(number);
   fixture.now += milliseconds(100);
   for (std::size_t order = 0; order < 2; ++order) fixture.finish(order);
@@ -266,9 +270,10 @@
   CHECK(fixture.target.orders.back().request->request_id == "r8");
 }
 
-// The shifted deployment, trouble-1: calls of 200 ms objective were refused after 30 ms, or at once, by full
-// targets of which a slot came free each 30 ms; each failed a run that had taken four times as long.
-TEST_CASE("a short request among long ones waits as long as its answer can be in time") {
+// Guards against refusing short requests too early. Calls with an objective of 200 ms were refused at once or
+// after 30 ms by full targets of which a slot became free every 30 ms; each refusal failed a run that had
+// already taken four times as long.
+TEST_CASE("a short request among long ones waits as long as its answer can still meet the objective") {
   constexpr std::uint32_t kDeadline = 6'000;
   GateFixture fixture;
   fixture.patience_ms = 20;
@@ -290,7 +295,7 @@
   CHECK(fixture.replies.at(4).reason == NotRunReason::Full);
 }
 
-TEST_CASE("a request that nothing yields to waits no longer than its sender says") {
+TEST_CASE("a request that no other yields to waits no longer than its sender's limit") {
   GateFixture fixture;
   fixture.patience_ms = 20;
   fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 1), fixture.now);
@@ -302,7 +307,7 @@
 
 namespace {
 
-Heartbeat beatOf(std::uint64_t born_ms, std::uint64_t sequence, bool is_ready = true) {
+Heartbeat makeHeartbeat(std::uint64_t born_ms, std::uint64_t sequence, bool is_ready = true) {
   auto beat = SidecarFixture::makeBeat("a", sequence, is_ready);
   beat.incarnation.born_ms = born_ms;
   return beat;
@@ -310,89 +315,90 @@
 
 }  // namespace
 
-TEST_CASE("a target that starts again under its id is another one, whose count begins anew",
+TEST_CASE("a target that restarts under the same id is a new incarnation with its own sequence numbers",
           "[incarnation]") {
   TargetState state;
   const TimePoint now{std::chrono::seconds(100)};
-  REQUIRE(state.onHeartbeat(beatOf(1'000, 50), now));
+  REQUIRE(state.onHeartbeat(makeHeartbeat(1'000, 50), now));
   const bool was_leaving = GENERATE(false, true);
   if (was_leaving) state.onDeregistered({"a", 1'000}, now);
-  CHECK(state.onHeartbeat(beatOf(2'000, 1), now));
+  CHECK(state.onHeartbeat(makeHeartbeat(2'000, 1), now));
   CHECK(state.condition() == TargetCondition::Ready);
   CHECK(state.incarnation() == mesh::Incarnation{"a", 2'000});
   CHECK(state.sequence() == 1);
 }
 
-TEST_CASE("late words of an earlier incarnation change nothing, in whatever order they come",
-          "[incarnation]") {
+TEST_CASE("late messages of an earlier incarnation are ignored in any order", "[incarnation]") {
   TargetState state;
   TimePoint now{std::chrono::seconds(100)};
-  // A sidecar that has just started may hear the later one first.
-  const bool earlier_was_heard = GENERATE(false, true);
-  if (earlier_was_heard) state.onHeartbeat(beatOf(1'000, 50), now);
-  state.onHeartbeat(beatOf(2'000, 1), now);
-  const int word = GENERATE(0, 1, 2);
-  if (word == 0) CHECK_FALSE(state.onHeartbeat(beatOf(1'000, 51), now));
-  if (word == 1) CHECK_FALSE(state.onHeartbeat(beatOf(1'000, 52, false), now));
-  if (word == 2) CHECK_FALSE(state.onDeregistered({"a", 1'000}, now));
+  // A sidecar that has just started may receive the later one first.
+  const bool earlier_was_known = GENERATE(false, true);
+  if (earlier_was_known) state.onHeartbeat(makeHeartbeat(1'000, 50), now);
+  state.onHeartbeat(makeHeartbeat(2'000, 1), now);
+  const int late_message = GENERATE(0, 1, 2);
+  if (late_message == 0) CHECK_FALSE(state.onHeartbeat(makeHeartbeat(1'000, 51), now));
+  if (late_message == 1) CHECK_FALSE(state.onHeartbeat(makeHeartbeat(1'000, 52, false), now));
+  if (late_message == 2) CHECK_FALSE(state.onDeregistered({"a", 1'000}, now));
   CHECK(state.condition() == TargetCondition::Ready);
   CHECK(state.incarnation().born_ms == 2'000);
-  CHECK(state.onHeartbeat(beatOf(2'000, 2, false), now));
+  CHECK(state.onHeartbeat(makeHeartbeat(2'000, 2, false), now));
 }
 
-TEST_CASE("what the later incarnation says does not bring the earlier one back", "[incarnation]") {
+TEST_CASE("messages of the later incarnation do not bring back the earlier one", "[incarnation]") {
   TargetState state;
   const TimePoint now{std::chrono::seconds(100)};
-  state.onHeartbeat(beatOf(1'000, 50), now);
-  state.onHeartbeat(beatOf(2'000, 1), now);
+  state.onHeartbeat(makeHeartbeat(1'000, 50), now);
+  state.onHeartbeat(makeHeartbeat(2'000, 1), now);
   state.onDeregistered({"a", 2'000}, now);
   CHECK(state.condition() == TargetCondition::Leaving);
-  state.onHeartbeat(beatOf(1'000, 60), now + std::chrono::seconds(10));
+  state.onHeartbeat(makeHeartbeat(1'000, 60), now + std::chrono::seconds(10));
   CHECK(state.condition() == TargetCondition::Leaving);
-  state.onHeartbeat(beatOf(2'000, 2), now);
+  state.onHeartbeat(makeHeartbeat(2'000, 2), now);
   CHECK(state.condition() == TargetCondition::Leaving);
 }
 
-// The clock of the target's machine was set back between two starts, so the newer one looks older.
-TEST_CASE("an incarnation that looks older is taken once the known one is silent and its own words go on",
+// Covers a clock of the target's machine that was set back between two starts, so that the newer incarnation
+// looks older.
+TEST_CASE("an incarnation that looks older is accepted once the known one is silent and it keeps sending",
           "[incarnation]") {
   TargetState state;
   TimePoint now{std::chrono::seconds(100)};
-  state.onHeartbeat(beatOf(2'000, 7), now);
+  state.onHeartbeat(makeHeartbeat(2'000, 7), now);
   for (std::uint64_t sequence = 1; sequence <= 3; ++sequence) {
     now += std::chrono::seconds(1);
-    CHECK_FALSE(state.onHeartbeat(beatOf(1'500, sequence), now));
+    CHECK_FALSE(state.onHeartbeat(makeHeartbeat(1'500, sequence), now));
   }
-  // One word that was held back is not enough, nor is the same one again.
+  // A single delayed heartbeat is not enough, and neither is the same one again.
   now += TargetState::kSilence;
-  CHECK_FALSE(state.onHeartbeat(beatOf(1'500, 3), now));
-  CHECK_FALSE(state.onHeartbeat(beatOf(1'400, 9), now));
-  CHECK_FALSE(state.onHeartbeat(beatOf(1'500, 4), now));
-  CHECK(state.onHeartbeat(beatOf(1'500, 5), now));
+  CHECK_FALSE(state.onHeartbeat(makeHeartbeat(1'500, 3), now));
+  CHECK_FALSE(state.onHeartbeat(makeHeartbeat(1'400, 9), now));
+  CHECK_FALSE(state.onHeartbeat(makeHeartbeat(1'500, 4), now));
+  CHECK(state.onHeartbeat(makeHeartbeat(1'500, 5), now));
   CHECK(state.incarnation().born_ms == 1'500);
-  CHECK_FALSE(state.onHeartbeat(beatOf(2'000, 8), now));
+  CHECK_FALSE(state.onHeartbeat(makeHeartbeat(2'000, 8), now));
 }
 
-TEST_CASE("what was learned by asking is the incarnation that says its birth next", "[incarnation]") {
+TEST_CASE("the next heartbeat supplies the birth time of an incarnation found by a health check",
+          "[incarnation]") {
   TargetState state;
   const TimePoint now{std::chrono::seconds(100)};
   REQUIRE(state.onReadyWhenAsked("a", "shop", 2));
-  state.onHeartbeat(beatOf(1'000, 3), now);
+  state.onHeartbeat(makeHeartbeat(1'000, 3), now);
   CHECK(state.incarnation().born_ms == 1'000);
   CHECK(state.condition() == TargetCondition::Ready);
-  CHECK(state.onHeartbeat(beatOf(2'000, 1), now));
+  CHECK(state.onHeartbeat(makeHeartbeat(2'000, 1), now));
 }
 
-TEST_CASE("what is known of a target ends with its incarnation", "[incarnation]") {
+TEST_CASE("state of a target is dropped with its incarnation", "[incarnation]") {
   SidecarFixture sidecar;
   sidecar.configure();
   const auto beat = [&sidecar](std::uint64_t born_ms, std::uint64_t sequence) {
-    sidecar.core.onHeartbeat(beatOf(born_ms, sequence), sidecar.now);
+    sidecar.core.onHeartbeat(makeHeartbeat(born_ms, sequence), sidecar.now);
     sidecar.step();
   };
   beat(1'000, 50);
-  // A run under way is broken off by the end of its target, and may have run there: it is not sent to the
-  // next one.
+  // A run in flight is broken off by the end of its target and may have run there, so it is not retried at
+  // the next one.
   const auto id = sidecar.call("/write/1");
   REQUIRE(sidecar.target.orders.size() == 1);
   CHECK(sidecar.target.orders[0].instance == "a");
@@ -403,7 +409,7 @@
   sidecar.step();
   CHECK(sidecar.callers.answers.at(id).outcome == CallOutcome::Failed);
   CHECK(sidecar.target.orders.size() == 1);
-  // The record that other sidecars get names another endpoint.
+  // The record sent to other sidecars names another endpoint.
   const auto records = [&sidecar](const std::string& name) {
     return std::count_if(sidecar.sent.begin(), sidecar.sent.end(), [&name](const auto& item) {
       const auto* update = item.message->body.AsEndpointUpdate();
@@ -414,13 +420,13 @@
   CHECK(records("a@2000") > 0);
 }
 
-TEST_CASE("a heartbeat of a service that nobody names changes nothing", "[incarnation]") {
+TEST_CASE("a heartbeat of an unknown service is rejected and changes nothing", "[incarnation]") {
   SidecarFixture sidecar;
   sidecar.configure();
-  sidecar.core.onHeartbeat(beatOf(1'000, 1), sidecar.now);
-  auto stranger = beatOf(2'000, 1);
-  stranger.service = "elsewhere";
-  CHECK_THROWS_AS(sidecar.core.onHeartbeat(stranger, sidecar.now), Error);
+  sidecar.core.onHeartbeat(makeHeartbeat(1'000, 1), sidecar.now);
+  auto unknown = makeHeartbeat(2'000, 1);
+  unknown.service = "elsewhere";
+  CHECK_THROWS_AS(sidecar.core.onHeartbeat(unknown, sidecar.now), Error);
   CHECK(sidecar.core.gate().target().incarnation().born_ms == 1'000);
   CHECK(sidecar.core.gate().target().service() == "shop");
 }
