--- a/tests/crowded_stop/crowded_stop_with_faults_test.cpp
+++ b/tests/crowded_stop/crowded_stop_with_faults_test.cpp
@@ -1,9 +1,9 @@
-// Planned stops of most sidecars at the same time behind a full link, while something else fails.
+// Planned stops of most sidecars at the same time behind a saturated uplink, combined with a further fault.
 //
-// A gate sends what must be there by a certain time in an order, with little unconfirmed, so that an answer
-// waits for those before it and not for all. What if a confirmation never comes, or comes late? Askers that
-// are cut off, links that are reset, and a gate that stands still for a second or stops itself must not hold
-// up the others.
+// A gate sends expedited answers in a fixed order with few unconfirmed bytes, so that an answer waits only
+// for those before it. A confirmation that never arrives or arrives late must not delay the answers to
+// others. The faults are sidecars that are cut off, connections that are reset, and a gate that is suspended
+// for a second or stops itself.
 #include "planned_stop/full_link.h"
 
 namespace cometstand::sidecar::test {
@@ -12,102 +12,107 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::size_t kAskers = 30;
+constexpr std::size_t kRequesters = 30;
 constexpr std::size_t kStops = 20;
 constexpr double kOverload = 3;
-constexpr Duration kBefore = seconds(6);
-constexpr Duration kBetweenStops = milliseconds(125);
-/// Longer than a stop may take.
+constexpr Duration kLoadTimeBeforeStops = seconds(6);
+constexpr Duration kStopInterval = milliseconds(125);
+/// Longer than the time limit of a planned stop.
 constexpr Duration kStopTime = seconds(7);
 
-/// Stops kStops sidecars in turn. @param between called after each stop, with its number.
-template <typename Between>
-void stopMost(FullLink& mesh, const Between& between) {
-  mesh.runFor(kBefore);
-  for (std::size_t asker = 0; asker < kStops; ++asker) {
-    mesh.stopAsker(asker);
-    mesh.runFor(kBetweenStops);
-    between(asker);
+/// Stops kStops sidecars in turn.
+/// @param after_stop called after each stop with the index of the sidecar.
+template <typename AfterStop>
+void stopSidecars(FullLink& mesh, const AfterStop& after_stop) {
+  mesh.runFor(kLoadTimeBeforeStops);
+  for (std::size_t requester = 0; requester < kStops; ++requester) {
+    mesh.stopAsker(requester);
+    mesh.runFor(kStopInterval);
+    after_stop(requester);
   }
   mesh.runFor(kStopTime);
 }
 
-void checkDelivered(const FullLink& mesh, std::size_t asker) {
-  const auto& account = mesh.account(asker);
-  INFO("asker " << asker << ": sent " << account.sent << ", answered " << account.answered << ", refused "
-                << account.refused << ", failed " << account.failed << ", cut " << account.cut);
-  REQUIRE(mesh.askerHasStopped(asker));
-  CHECK(mesh.open(asker) == 0);
+void checkDelivered(const FullLink& mesh, std::size_t requester) {
+  const auto& account = mesh.account(requester);
+  INFO("requester " << requester << ": sent " << account.sent << ", answered " << account.answered
+                    << ", refused " << account.refused << ", failed " << account.failed << ", cut "
+                    << account.cut);
+  REQUIRE(mesh.askerHasStopped(requester));
+  CHECK(mesh.open(requester) == 0);
   CHECK(account.cut == 0);
   CHECK(account.failed == 0);
   CHECK(account.refused_though_run == 0);
 }
 
-void cutAskers(std::uint64_t seed) {
-  constexpr std::size_t kCut = 6;
+void cutRequesters(std::uint64_t seed) {
+  constexpr std::size_t kCutRequesters = 6;
   INFO("seed " << seed);
-  FullLink mesh(seed, kAskers, kOverload, FullLink::kConnectionWindow);
-  stopMost(mesh, [&](std::size_t stopped) {
+  FullLink mesh(seed, kRequesters, kOverload, FullLink::kConnectionWindow);
+  stopSidecars(mesh, [&](std::size_t stopped) {
     if (stopped + 1 != kStops / 2) return;
-    for (std::size_t asker = 0; asker < kCut; ++asker) mesh.cutAsker(asker);
+    for (std::size_t requester = 0; requester < kCutRequesters; ++requester) mesh.cutAsker(requester);
   });
-  for (std::size_t asker = kCut; asker < kStops; ++asker) checkDelivered(mesh, asker);
+  for (std::size_t requester = kCutRequesters; requester < kStops; ++requester)
+    checkDelivered(mesh, requester);
 }
 
 void pauseGate(std::uint64_t seed) {
   INFO("seed " << seed);
-  FullLink mesh(seed, kAskers, kOverload, FullLink::kConnectionWindow);
-  stopMost(mesh, [&](std::size_t stopped) {
+  FullLink mesh(seed, kRequesters, kOverload, FullLink::kConnectionWindow);
+  stopSidecars(mesh, [&](std::size_t stopped) {
     if (stopped + 1 == kStops / 2) mesh.pauseGate(seconds(1));
   });
-  for (std::size_t asker = 0; asker < kStops; ++asker) checkDelivered(mesh, asker);
+  for (std::size_t requester = 0; requester < kStops; ++requester) checkDelivered(mesh, requester);
 }
 
 void stopGateToo(std::uint64_t seed) {
   INFO("seed " << seed);
-  FullLink mesh(seed, kAskers, kOverload, FullLink::kConnectionWindow);
-  stopMost(mesh, [&](std::size_t stopped) {
+  FullLink mesh(seed, kRequesters, kOverload, FullLink::kConnectionWindow);
+  stopSidecars(mesh, [&](std::size_t stopped) {
     if (stopped + 1 == kStops / 2) mesh.stopGate();
   });
   REQUIRE(mesh.gateHasStopped());
   CHECK(mesh.gateStopTime() <= SidecarOptions().stopLimit());
-  for (std::size_t asker = 0; asker < kStops; ++asker) checkDelivered(mesh, asker);
+  for (std::size_t requester = 0; requester < kStops; ++requester) checkDelivered(mesh, requester);
 }
 
 void resetLinks(std::uint64_t seed) {
-  constexpr std::size_t kReset = 4;
+  constexpr std::size_t kResetRequesters = 4;
   INFO("seed " << seed);
-  FullLink mesh(seed, kAskers, kOverload, FullLink::kConnectionWindow);
-  stopMost(mesh, [&](std::size_t stopped) {
+  FullLink mesh(seed, kRequesters, kOverload, FullLink::kConnectionWindow);
+  stopSidecars(mesh, [&](std::size_t stopped) {
     if (stopped % 3 != 0) return;
-    for (std::size_t asker = 0; asker < kReset; ++asker) mesh.resetLink(asker);
+    for (std::size_t requester = 0; requester < kResetRequesters; ++requester) mesh.resetLink(requester);
   });
-  // What a reset cut may have run, so that its caller is told of a failure.
-  for (std::size_t asker = 0; asker < kReset; ++asker) CHECK(mesh.open(asker) == 0);
-  for (std::size_t asker = kReset; asker < kStops; ++asker) checkDelivered(mesh, asker);
+  // A request whose connection was reset may have run, so its caller gets a failure.
+  for (std::size_t requester = 0; requester < kResetRequesters; ++requester) CHECK(mesh.open(requester) == 0);
+  for (std::size_t requester = kResetRequesters; requester < kStops; ++requester)
+    checkDelivered(mesh, requester);
 }
 
 }  // namespace
 
-TEST_CASE("askers that are cut off in their stops do not hold up the answers of others", "[stop]") {
-  cutAskers(GENERATE(range<std::uint64_t>(1, 6)));
+TEST_CASE("sidecars that are cut off during their stops do not delay the answers to others", "[stop]") {
+  cutRequesters(GENERATE(range<std::uint64_t>(1, 6)));
 }
 
-TEST_CASE("a gate that stands still for a second delivers to those that stop all the same", "[stop]") {
+TEST_CASE("a gate that is suspended for a second still delivers all answers to stopping sidecars", "[stop]") {
   pauseGate(GENERATE(range<std::uint64_t>(1, 6)));
 }
 
-TEST_CASE("a gate that stops beside most of its askers has sent all of its answers by then", "[stop]") {
+TEST_CASE("a gate that stops along with most requesters delivers all of its answers within its time limit",
+          "[stop]") {
   stopGateToo(GENERATE(range<std::uint64_t>(1, 6)));
 }
 
-TEST_CASE("links that are reset in stops hold up no answer of others", "[stop]") {
+TEST_CASE("connections that are reset during stops do not delay the answers to others", "[stop]") {
   resetLinks(GENERATE(range<std::uint64_t>(1, 6)));
 }
 
-TEST_CASE("the same over many seeds", "[.][hunt]") {
+TEST_CASE("stops with each kind of fault hold over 60 seeds", "[.][hunt]") {
   const auto seed = GENERATE(range<std::uint64_t>(1, 61));
-  cutAskers(seed);
+  cutRequesters(seed);
   pauseGate(seed);
   stopGateToo(seed);
   resetLinks(seed);
