--- a/src/sidecar/gate_asker.h
+++ b/src/sidecar/gate_asker.h
@@ -20,7 +20,7 @@
 
 /// The sender of a request at the gate: a link to another sidecar, or this sidecar itself.
 struct GateAsker {
-  /// The default stands for local callers of this sidecar.
+  /// Default: this sidecar itself, for its local callers.
   runtime::LinkId link{};
   std::uint64_t request_id = 0;
   /// Not compared: it does not identify the sender.
--- a/src/sidecar/target_gate.cpp
+++ b/src/sidecar/target_gate.cpp
@@ -19,7 +19,7 @@
 constexpr double kMaxReservedShare = 1.0 / 3;
 /// Multiple of the smoothed run time within which a short request is expected to finish: run times of one
 /// kind of request vary, and the answer takes time on its way back.
-constexpr int kRunTimeMargin = 2;
+constexpr int kRunTimeFactor = 2;
 /// How long after its arrival a request's objective is compared with those of others.
 constexpr Duration kObjectiveLifetime = std::chrono::seconds(2);
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(10);
@@ -103,7 +103,7 @@
   const Duration requested = std::chrono::milliseconds(request.patience_ms);
   if (!hasPrecedence(request, now)) return requested;
   const Duration objective = std::chrono::milliseconds(request.objective_ms);
-  return std::max(requested, objective - kRunTimeMargin * non_yielding_load_.runTime());
+  return std::max(requested, objective - kRunTimeFactor * non_yielding_load_.runTime());
 }
 
 TargetGate::QueueKey TargetGate::queueKeyOf(const wire::ForwardRequestT& request, TimePoint now) const {
--- a/src/sidecar/target_gate.h
+++ b/src/sidecar/target_gate.h
@@ -24,7 +24,7 @@
 namespace cometstand::sidecar {
 
 /// Admits requests to the target of this sidecar and queues them. All requests for the target pass through
-/// this gate, so it knows the target's whole load: it refuses at once what cannot be run in time, serves the
+/// this gate, so it knows the target's full load: it refuses at once what cannot be run in time, serves the
 /// more urgent requests first, and sends none to a target that is shutting down.
 ///
 /// Invariants: never more requests in flight at the target than it has slots; NotRun is answered only if the
--- a/tests/sidecar/cold_gate_test.cpp
+++ b/tests/sidecar/cold_gate_test.cpp
@@ -211,8 +211,8 @@
 
 namespace {
 
-/// A simulated fleet of gates whose targets crash when they get more requests than a cold target can handle,
-/// and restart cold.
+/// A simulated fleet of gates whose targets crash when they get too many requests while cold, and restart
+/// cold.
 class ColdFleet {
  public:
   static constexpr std::size_t kTargets = 8;
