--- a/src/sidecar/past_incarnations.h
+++ b/src/sidecar/past_incarnations.h
@@ -9,26 +9,25 @@
 
 namespace cometstand::sidecar {
 
-/// Incarnations of the target beside a sidecar that another one followed, or that are gone: late words of
-/// theirs change nothing.
+/// Superseded or deregistered incarnations of the target beside a sidecar, whose late messages are ignored.
 ///
-/// The newest kMost are known. A target that starts again and again, or a writer that makes up names, must
-/// not take memory for as long as the sidecar runs. A word that comes late by as many restarts would have
-/// been held back for minutes.
+/// Only the newest kMaxIncarnations are kept, so that neither a target in a crash loop nor a client that
+/// sends made-up ids can grow memory without bound. A message of an incarnation that was already evicted
+/// would have to be delayed by that many restarts, that is, by minutes.
 class PastIncarnations {
  public:
-  /// With ids of 20 characters about 20 KB.
-  static constexpr std::size_t kMost = 256;
+  /// Takes about 20 KB with ids of 20 characters.
+  static constexpr std::size_t kMaxIncarnations = 256;
 
   void add(const mesh::Incarnation& incarnation) {
     if (contains(incarnation)) return;
-    if (incarnations_.size() == kMost) incarnations_.pop_front();
+    if (incarnations_.size() == kMaxIncarnations) incarnations_.pop_front();
     incarnations_.push_back(incarnation);
   }
   bool contains(const mesh::Incarnation& incarnation) const {
     return std::find(incarnations_.begin(), incarnations_.end(), incarnation) != incarnations_.end();
   }
-  /// @return true if one of them had the id.
+  /// @return true if any past incarnation had this id.
   bool containsId(const std::string& id) const {
     return std::any_of(incarnations_.begin(), incarnations_.end(),
                        [&id](const mesh::Incarnation& past) { return past.id == id; });
@@ -36,7 +35,7 @@
   std::size_t size() const { return incarnations_.size(); }
 
  private:
-  /// The oldest first.
+  /// Ordered from oldest to newest.
   std::deque<mesh::Incarnation> incarnations_;
 };
 
--- a/src/sidecar/target_port.h
+++ b/src/sidecar/target_port.h
@@ -9,60 +9,61 @@
 
 namespace cometstand::sidecar {
 
-/// Names one request on its way to the target beside this sidecar. Rising, never used twice.
+/// Identifies one request sent to the target beside this sidecar. Ids increase and are never reused.
 enum class RunId : std::uint64_t {};
 
 using ForwardRequestPointer = std::shared_ptr<const wire::ForwardRequestT>;
 
-/// One request for the target.
+/// A request to run at the target.
 struct RunOrder {
   RunId id{};
   ForwardRequestPointer request;
-  /// The target must have this id, else it must not run the request.
+  /// Id that the target must have; a target with another id must not run the request.
   std::string instance;
-  /// The target is to stop work then.
+  /// Time after which the target must stop processing the request.
   Duration time_left{};
 };
 
-/// What came of a request at the target.
+/// Result of a request at the target.
 struct RunResult {
   wire::ForwardReplyT reply;
-  /// The target said that it has another id.
+  /// The target rejected the request because it has another id.
   bool other_instance = false;
 };
 
-/// What a target said when it was asked for its health.
+/// Result of a health check of the target.
 struct TargetHealth {
-  /// It is well and not leaving.
+  /// The target is healthy and not leaving.
   bool ready = false;
-  /// Its id; a health answer does not tell the incarnation.
+  /// Id of the target; a health response does not contain the incarnation.
   std::string instance;
   unsigned slots = 1;
-  /// Time from now on during which it is cold, if it said so.
+  /// Remaining cold time, if the target reported it.
   std::optional<Duration> cold_remaining{};
 };
 
-/// What came of a connection that was opened to see whether the target lives.
+/// Outcome of a connection attempt that checks whether the target is alive.
 enum class ProbeOutcome : std::uint8_t {
-  /// Somebody listens at the target's address.
+  /// A process accepts connections at the target's address.
   Accepted,
-  /// Nobody listens there.
+  /// No process listens at the target's address.
   Refused,
-  /// Nothing is known.
+  /// The attempt failed without showing whether a process listens.
   Unknown,
 };
 
-/// Carries requests to the target. Its answers come through SidecarCore::onRunResult(), never from within
+/// Sends requests to the target. Results are delivered through SidecarCore::onRunResult(), never from within
 /// run().
 class TargetPort {
  public:
   virtual ~TargetPort() = default;
   virtual void run(RunOrder order) = 0;
-  /// Asks the target for its health, once. The answer comes through SidecarCore::onHealth().
+  /// Sends one health check to the target. The result is delivered through SidecarCore::onHealth().
   virtual void askHealth(const std::string& path) = 0;
-  /// Opens a connection to the target and closes it. The outcome comes through SidecarCore::onProbed().
+  /// Opens a connection to the target and closes it. The outcome is delivered through
+  /// SidecarCore::onProbed().
   virtual void probe() = 0;
-  /// Gives the request up: the target sees its connection close. No result follows.
+  /// Cancels the request by closing its connection to the target. No result follows.
   virtual void cancel(RunId id) = 0;
 };
 
--- a/src/sidecar/target_state.cpp
+++ b/src/sidecar/target_state.cpp
@@ -2,48 +2,49 @@
 
 namespace cometstand::sidecar {
 
-/// What was learned by asking has no time of birth.
-bool TargetState::isKnown(const mesh::Incarnation& incarnation) const {
-  const auto& known = beat_.incarnation;
-  return incarnation == known ||
-         (incarnation.id == known.id && (incarnation.born_ms == 0 || known.born_ms == 0));
+/// A health check response carries no start time.
+bool TargetState::isCurrent(const mesh::Incarnation& incarnation) const {
+  const auto& current = beat_.incarnation;
+  return incarnation == current ||
+         (incarnation.id == current.id && (incarnation.born_ms == 0 || current.born_ms == 0));
 }
 
-bool TargetState::mayFollow(const Heartbeat& beat, TimePoint now) {
-  const auto& known = beat_.incarnation;
-  const bool looks_older = beat.incarnation.id == known.id && beat.incarnation.born_ms < known.born_ms;
+bool TargetState::maySupersede(const Heartbeat& beat, TimePoint now) {
+  const auto& current = beat_.incarnation;
+  const bool looks_older = beat.incarnation.id == current.id && beat.incarnation.born_ms < current.born_ms;
   if (!looks_older) return true;
-  const bool is_rising = doubtful_.incarnation == beat.incarnation && beat.sequence > doubtful_.sequence;
-  doubtful_ = {beat.incarnation, beat.sequence};
-  return is_rising && now >= heard_at_ + kSilence;
+  const bool is_increasing =
+      older_candidate_.incarnation == beat.incarnation && beat.sequence > older_candidate_.sequence;
+  older_candidate_ = {beat.incarnation, beat.sequence};
+  return is_increasing && now >= last_heartbeat_at_ + kSilence;
 }
 
 bool TargetState::onHeartbeat(const Heartbeat& beat, TimePoint now) {
   if (past_.contains(beat.incarnation)) return false;
-  const bool is_same = isKnown(beat.incarnation);
-  // What was learned by asking has no sequence.
+  const bool is_same = isCurrent(beat.incarnation);
+  // A state that comes from a health check has sequence 0.
   if (is_same && beat_.sequence != 0 && beat.sequence <= beat_.sequence) return false;
-  if (!is_same && !mayFollow(beat, now)) return false;
+  if (!is_same && !maySupersede(beat, now)) return false;
   if (!is_same && !beat_.incarnation.empty()) past_.add(beat_.incarnation);
   const bool was_leaving = is_same && condition_ == TargetCondition::Leaving;
   const bool changed = beat.incarnation != beat_.incarnation || beat.slots != beat_.slots ||
                        beat.service != beat_.service || beat.version != beat_.version ||
                        (condition_ == TargetCondition::Ready) != beat.ready;
   beat_ = beat;
-  heard_at_ = now;
+  last_heartbeat_at_ = now;
   cold_until_ = now + beat.cold_remaining;
   if (was_leaving) return false;
   if (beat.ready) {
     condition_ = TargetCondition::Ready;
   } else {
-    leave(now);
+    markLeaving(now);
   }
   return changed;
 }
 
 bool TargetState::onReadyWhenAsked(const std::string& id, const std::string& service, unsigned slots) {
-  const bool is_news = condition_ == TargetCondition::Unheard && !past_.containsId(id);
-  if (!is_news) return false;
+  const bool is_applicable = condition_ == TargetCondition::Unheard && !past_.containsId(id);
+  if (!is_applicable) return false;
   beat_ = {};
   beat_.incarnation.id = id;
   beat_.service = service;
@@ -52,18 +53,18 @@
   return true;
 }
 
-void TargetState::leave(TimePoint now) {
+void TargetState::markLeaving(TimePoint now) {
   if (condition_ != TargetCondition::Leaving) leaving_since_ = now;
   condition_ = TargetCondition::Leaving;
 }
 
 bool TargetState::onDeregistered(const mesh::Incarnation& incarnation, TimePoint now) {
-  if (!isKnown(incarnation)) {
+  if (!isCurrent(incarnation)) {
     past_.add(incarnation);
     return false;
   }
   const bool changed = condition_ != TargetCondition::Leaving;
-  leave(now);
+  markLeaving(now);
   return changed;
 }
 
--- a/src/sidecar/target_state.h
+++ b/src/sidecar/target_state.h
@@ -10,90 +10,90 @@
 namespace cometstand::sidecar {
 
 enum class TargetCondition : std::uint8_t {
-  /// Nothing was heard of a target, or what was known no longer holds.
+  /// No heartbeat was received and no health check passed yet, or the target answered under another id.
   Unheard,
   Ready,
-  /// It said that it leaves, or that it is gone.
+  /// The target reported that it is draining or was deregistered.
   Leaving,
 };
 
-/// What a target says of itself, again and again.
+/// Periodic status report that a target sends about itself.
 struct Heartbeat {
   mesh::Incarnation incarnation;
   std::string service;
   std::string zone;
-  /// Of the target's software; empty if it does not say.
+  /// Version of the target's software; empty if the target does not report one.
   std::string version;
   unsigned slots = 1;
   bool ready = true;
-  /// Rises with each heartbeat of one incarnation.
+  /// Increases with each heartbeat of an incarnation.
   std::uint64_t sequence = 0;
-  /// Time from now on during which the target is slow from its start.
+  /// Remaining time of the target's cold start, during which it is slow.
   Duration cold_remaining = Duration::zero();
 };
 
-/// The target beside this sidecar, by its own heartbeats. Heartbeats may come late: an older one of the same
-/// incarnation, or one of an incarnation that another followed, changes nothing. This is the one place that
-/// says which incarnation is the newer one.
+/// State of the target beside this sidecar, derived from the target's heartbeats. Heartbeats may be delayed:
+/// an older one of the same incarnation, or one of a superseded incarnation, is ignored. Only this class
+/// decides which incarnation is the newer one.
 ///
-/// Of two incarnations under one id the one that was born later is newer. A clock that was set back makes a
-/// newer one look older, so an unknown incarnation with an earlier birth is taken, too, once two rising
-/// heartbeats of it have come while the known one was silent for kSilence: words that a cut held back come
-/// while the newer incarnation sends its own.
+/// Of two incarnations with the same id, the one with the later start time is newer. A clock that was set
+/// back makes a newer incarnation look older. An unknown incarnation with an earlier start time is therefore
+/// accepted, too, once two heartbeats with increasing sequence numbers have arrived from it while the current
+/// one sent none for kSilence. Heartbeats that a network partition delayed do not meet this condition,
+/// because they arrive while the newer incarnation sends its own.
 ///
-/// Invariant: an incarnation that said that it leaves is never taken for ready again.
+/// Invariant: an incarnation that reported that it is leaving is never considered ready again.
 class TargetState {
  public:
   /// @return true if anything changed.
   bool onHeartbeat(const Heartbeat& beat, TimePoint now);
-  /// The target was asked and is ready. Counts only while nothing was heard of it; every heartbeat counts
-  /// more.
+  /// The target passed a health check. Applies only in condition Unheard; any heartbeat overrides it.
   /// @return true if anything changed.
   bool onReadyWhenAsked(const std::string& id, const std::string& service, unsigned slots);
-  /// The incarnation says that it is gone, or about to be. Without the time of its birth it means the known
-  /// one, if that has the id. @return true if anything changed.
+  /// The incarnation has ended or is about to end. Without a start time, it matches the current incarnation
+  /// if that has the same id. @return true if anything changed.
   bool onDeregistered(const mesh::Incarnation& incarnation, TimePoint now);
-  /// The target itself answered that it has another id. @return true if anything changed.
+  /// The target rejected a request because its id is not the expected one. @return true if anything changed.
   bool onOtherId(const std::string& expected);
 
   TargetCondition condition() const { return condition_; }
   const mesh::Incarnation& incarnation() const { return beat_.incarnation; }
   const std::string& service() const { return beat_.service; }
-  /// @return empty until a heartbeat told it.
+  /// @return the version from the newest heartbeat; empty if none reported one.
   const std::string& version() const { return beat_.version; }
   unsigned slots() const { return beat_.slots; }
-  /// @return number of the heartbeat that this is known from; 0 if the target was asked.
+  /// @return sequence number of the newest heartbeat; 0 if the state comes from a health check.
   std::uint64_t sequence() const { return beat_.sequence; }
-  /// @return until when the target is slow from its start.
+  /// @return end of the target's cold start, during which it is slow.
   TimePoint coldUntil() const { return cold_until_; }
-  /// @return incarnations that are remembered besides the known one.
+  /// @return number of remembered incarnations, without the current one.
   std::size_t pastIncarnations() const { return past_.size(); }
-  /// When the target began to leave.
+  /// @return when the target's condition became Leaving.
   TimePoint leavingSince() const { return leaving_since_; }
 
-  /// A target that runs sends heartbeats more often than twice in this time, one of which may be lost: they
-  /// come each 1.5 s or so.
+  /// Time without heartbeats after which an incarnation counts as silent. Heartbeats are sent about every
+  /// 1.5 s, so at least two fall into this time and one of them may be lost.
   static constexpr Duration kSilence = std::chrono::milliseconds(3'500);
 
  private:
-  /// An incarnation that looks older than the known one.
-  struct Doubtful {
+  /// An incarnation whose start time is earlier than that of the current one.
+  struct OlderCandidate {
     mesh::Incarnation incarnation;
     std::uint64_t sequence = 0;
   };
 
-  void leave(TimePoint now);
-  bool isKnown(const mesh::Incarnation& incarnation) const;
-  /// @return true if the heartbeat is of an incarnation that may follow the known one.
-  bool mayFollow(const Heartbeat& beat, TimePoint now);
+  void markLeaving(TimePoint now);
+  bool isCurrent(const mesh::Incarnation& incarnation) const;
+  /// @return true if the incarnation of the heartbeat may supersede the current one.
+  bool maySupersede(const Heartbeat& beat, TimePoint now);
 
   Heartbeat beat_;
   TargetCondition condition_ = TargetCondition::Unheard;
   TimePoint cold_until_;
   TimePoint leaving_since_;
-  /// When the newest heartbeat that counted came.
-  TimePoint heard_at_;
-  Doubtful doubtful_;
+  /// When the newest accepted heartbeat arrived.
+  TimePoint last_heartbeat_at_;
+  OlderCandidate older_candidate_;
   PastIncarnations past_;
 };
 
--- a/src/sidecar/target_warmth.h
+++ b/src/sidecar/target_warmth.h
@@ -8,58 +8,60 @@
 
 namespace cometstand::sidecar {
 
-/// Whether the target beside this sidecar is cold, as far as that is known. What the target says of itself
-/// decides; where something hints that it may have started again unseen, it counts as cold until it says
-/// otherwise, for as long as a cold start takes at most.
+/// Tracks whether the target beside this sidecar is in its cold start. The target's own reports decide. If an
+/// event suggests that the target may have restarted unnoticed, it is suspected to be cold until a health
+/// check shows otherwise, at most for the duration of a cold start.
 ///
-/// A wrong "cold" costs a question and some refusals; a wrong "warm" can topple the target, which then comes
-/// back cold.
+/// A target that is wrongly considered cold costs a health check and some refused requests. A target that is
+/// wrongly considered warm can be overloaded so that it fails and restarts cold.
 class TargetWarmth {
  public:
-  /// How the targets of the service start. Without a rate for cold ones, nothing is asked or doubted.
+  /// Sets the cold start parameters of the service. Without a request rate for cold targets, the target is
+  /// never suspected and no health check is due.
   void setColdStart(const mesh::ColdStart& start) { start_ = start; }
-  /// @return true if the service bounds what its cold targets get.
+  /// @return true if the service limits the request rate of cold targets.
   bool isBounded() const { return start_.requests_per_second > 0; }
 
-  /// The target is another instance from now on, and cold for that long.
+  /// The target was replaced by another instance, which is cold for the remaining time.
   void onNewInstance(Duration remaining, TimePoint now);
-  /// A heartbeat says that the target is cold for that long. One that says that it is warm may have been on
-  /// its way since before a doubt, so it ends none.
+  /// A heartbeat reports the remaining cold time. A heartbeat that reports a warm target may have been sent
+  /// before a suspicion arose, so it never clears one.
   void onHeartbeat(Duration remaining, TimePoint now);
-  /// The question was answered, or not at all.
-  /// @param remaining how long the target says that it is cold; nothing if it does not say so. Ends only
-  /// doubts that are older than the question.
+  /// The pending health check was answered or failed. A response clears a suspicion only if the health check
+  /// was sent after the suspicion arose.
+  /// @param remaining cold time that the target reports; empty if it reports none or did not answer.
   void onAnswered(std::optional<Duration> remaining, TimePoint now);
-  /// Something hints that the target may have become cold.
-  /// @return true if that is news.
+  /// Marks the target as possibly cold, after an event that suggests an unnoticed restart.
+  /// @return true if the target was not suspected before.
   bool doubt(TimePoint now);
 
-  /// @return true if no more may be passed to the target than a cold one bears.
+  /// @return true if the rate limit for cold targets applies.
   bool isCold(TimePoint now) const { return isBounded() && now < coldUntil(); }
-  /// @return until when it counts as cold, whether or not that is bounded.
-  TimePoint coldUntil() const { return std::max(told_until_, doubted_until_); }
-  /// @return until when it is cold as it said itself.
-  TimePoint toldUntil() const { return told_until_; }
-  /// @return true if the target may be cold without having said so.
-  bool isDoubted(TimePoint now) const { return isBounded() && now < doubted_until_; }
-  /// @return true if the target is to be asked now; the question is noted. One is out at a time.
+  /// @return until when the target is considered cold, even if the service does not limit cold targets.
+  TimePoint coldUntil() const { return std::max(reported_until_, suspected_until_); }
+  /// @return until when the target is cold by its own report.
+  TimePoint toldUntil() const { return reported_until_; }
+  /// @return true if the target may be cold without having reported it.
+  bool isDoubted(TimePoint now) const { return isBounded() && now < suspected_until_; }
+  /// @return true if a health check is to be sent now, which is then recorded as pending. At most one is
+  /// pending at a time.
   bool takeQuestion(TimePoint now);
-  /// @return when takeQuestion() may be true next, while a doubt lasts.
+  /// @return earliest time at which takeQuestion() may return true, while the target is suspected.
   TimePoint nextQuestion() const;
 
  private:
-  void noteTold(Duration remaining, TimePoint now);
+  void recordReported(Duration remaining, TimePoint now);
 
   mesh::ColdStart start_;
-  TimePoint told_until_;
-  /// When the target last said that it is cold.
-  TimePoint told_at_;
-  TimePoint doubted_until_;
-  /// Of the newest hint.
-  TimePoint doubted_at_;
-  /// When the target was asked last.
-  std::optional<TimePoint> asked_at_;
-  bool is_question_out_ = false;
+  TimePoint reported_until_;
+  /// When the target last reported that it is cold.
+  TimePoint reported_at_;
+  TimePoint suspected_until_;
+  /// When the latest suspicion arose.
+  TimePoint suspected_at_;
+  /// When the last health check was sent.
+  std::optional<TimePoint> health_check_sent_at_;
+  bool is_health_check_pending_ = false;
 };
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/target_watch.cpp
+++ b/src/sidecar/target_watch.cpp
@@ -5,21 +5,22 @@
 namespace cometstand::sidecar {
 namespace {
 
-/// A run that was given up may still end its target for so long: about the time of a usual run.
-constexpr Duration kGivenUpMemory = std::chrono::milliseconds(500);
-/// Of runs that were given up; more are not remembered.
-constexpr std::size_t kMostGivenUp = 64;
-/// A broken connection is explained by another incarnation that is heard within this time; targets are back
-/// after some seconds.
-constexpr Duration kSuspicionTime = std::chrono::seconds(10);
+/// Time after its cancellation during which a run may still crash the target; about the time of a typical
+/// run.
+constexpr Duration kCancelledRunRetention = std::chrono::milliseconds(500);
+/// Maximum number of cancelled runs that are remembered.
+constexpr std::size_t kMaxCancelledRuns = 64;
+/// A new incarnation within this time after a broken connection confirms that the target terminated. Targets
+/// restart within a few seconds.
+constexpr Duration kSuspicionTimeout = std::chrono::seconds(10);
 
 }  // namespace
 
 void TargetWatch::onBroken(const ForwardRequestPointer& request, const mesh::Incarnation& incarnation,
                            TimePoint now) {
-  if (incarnation == ended_) return;
+  if (incarnation == last_ended_) return;
   const bool is_known =
-      suspicion_ && suspicion_->incarnation == incarnation && now < suspicion_->since + kSuspicionTime;
+      suspicion_ && suspicion_->incarnation == incarnation && now < suspicion_->since + kSuspicionTimeout;
   if (!is_known) {
     suspicion_ = Suspicion{incarnation, now, {}};
     port_.probe();
@@ -28,11 +29,11 @@
 }
 
 void TargetWatch::onGivenUp(const ForwardRequestPointer& request, TimePoint now) {
-  while (!given_up_.empty() &&
-         (given_up_.size() >= kMostGivenUp || given_up_.front().ended + kGivenUpMemory < now)) {
-    given_up_.pop_front();
+  while (!cancelled_runs_.empty() && (cancelled_runs_.size() >= kMaxCancelledRuns ||
+                                      cancelled_runs_.front().cancelled_at + kCancelledRunRetention < now)) {
+    cancelled_runs_.pop_front();
   }
-  given_up_.push_back({request, now});
+  cancelled_runs_.push_back({request, now});
 }
 
 void TargetWatch::onAnswered(const mesh::Incarnation& incarnation, TimePoint started) {
@@ -42,28 +43,29 @@
 
 std::optional<TargetEnd> TargetWatch::onProbed(ProbeOutcome outcome, TimePoint now) {
   if (outcome != ProbeOutcome::Refused || !suspicion_) return std::nullopt;
-  if (now >= suspicion_->since + kSuspicionTime) return std::nullopt;
-  return conclude();
+  if (now >= suspicion_->since + kSuspicionTimeout) return std::nullopt;
+  return confirmEnd();
 }
 
 std::optional<TargetEnd> TargetWatch::onIncarnation(const mesh::Incarnation& incarnation, TimePoint now) {
   const bool is_replaced =
-      suspicion_ && suspicion_->incarnation != incarnation && now < suspicion_->since + kSuspicionTime;
+      suspicion_ && suspicion_->incarnation != incarnation && now < suspicion_->since + kSuspicionTimeout;
   if (!is_replaced) return std::nullopt;
-  return conclude();
+  return confirmEnd();
 }
 
-/// What began after the first broken connection never reached the target.
-TargetEnd TargetWatch::conclude() {
+/// Runs that started after the first broken connection never reached the target and are left out.
+TargetEnd TargetWatch::confirmEnd() {
   TargetEnd end{suspicion_->incarnation, std::move(suspicion_->broken)};
-  for (const auto& run : running_()) {
+  for (const auto& run : list_running_()) {
     if (run.started < suspicion_->since) end.requests.push_back(run.request);
   }
-  for (const auto& past : given_up_) {
-    if (past.ended + kGivenUpMemory >= suspicion_->since) end.requests.push_back(past.request);
+  for (const auto& cancelled : cancelled_runs_) {
+    if (cancelled.cancelled_at + kCancelledRunRetention >= suspicion_->since)
+      end.requests.push_back(cancelled.request);
   }
-  given_up_.clear();
-  ended_ = end.incarnation;
+  cancelled_runs_.clear();
+  last_ended_ = end.incarnation;
   suspicion_.reset();
   return end;
 }
--- a/src/sidecar/target_watch.h
+++ b/src/sidecar/target_watch.h
@@ -13,62 +13,62 @@
 
 namespace cometstand::sidecar {
 
-/// A target that ended while it had requests.
+/// Reports that a target terminated while it had requests.
 struct TargetEnd {
   mesh::Incarnation incarnation;
-  /// The requests that it had, or may have had: any of them may be the cause.
+  /// Requests that were, or may have been, at the target: any of them may be the cause.
   std::vector<ForwardRequestPointer> requests;
 };
 
-/// Tells a target that ended from one that broke a connection. A run without an answer alone is no end: full
-/// targets reset connections, faulty ones break answers off. So the watch asks whether the target's address
-/// still accepts a connection; if it is refused, or another incarnation is heard there soon, the target has
-/// ended.
+/// Distinguishes a target that terminated from one that only broke a connection. A run without a response is
+/// no proof of termination: overloaded targets reset connections, and faulty ones cut responses short. The
+/// watch therefore probes the target's address. If the connection is refused, or another incarnation appears
+/// within 10 s of the broken connection, the target has terminated.
 ///
 /// Invariant: no incarnation is reported twice.
 class TargetWatch {
  public:
-  /// A request at the target.
+  /// A request that is running at the target.
   struct Run {
     ForwardRequestPointer request;
     TimePoint started;
   };
-  /// @return the requests that are at the target now.
-  using RunningRuns = std::function<std::vector<Run>()>;
+  /// @return the requests that are running at the target.
+  using ListRuns = std::function<std::vector<Run>()>;
 
-  TargetWatch(TargetPort& port, RunningRuns running) : port_(port), running_(std::move(running)) {}
+  TargetWatch(TargetPort& port, ListRuns running) : port_(port), list_running_(std::move(running)) {}
 
-  /// A run of the incarnation ended without an answer.
+  /// A run of the incarnation ended without a response.
   void onBroken(const ForwardRequestPointer& request, const mesh::Incarnation& incarnation, TimePoint now);
-  /// A run was given up. The target may work on it all the same.
+  /// A run was cancelled. The target may still be processing it.
   void onGivenUp(const ForwardRequestPointer& request, TimePoint now);
-  /// The incarnation answered a run that began at that time.
+  /// The incarnation answered a run that started at the given time.
   void onAnswered(const mesh::Incarnation& incarnation, TimePoint started);
-  /// @return the end of the target, if it is certain now.
+  /// @return the end of the target if the probe outcome confirms it.
   std::optional<TargetEnd> onProbed(ProbeOutcome outcome, TimePoint now);
-  /// The target beside this sidecar is this incarnation. @return the end of the one before, if it is certain
-  /// now.
+  /// Reports the current incarnation of the target. @return the end of the previous incarnation if this
+  /// confirms it.
   std::optional<TargetEnd> onIncarnation(const mesh::Incarnation& incarnation, TimePoint now);
 
  private:
-  struct Past {
+  struct CancelledRun {
     ForwardRequestPointer request;
-    TimePoint ended;
+    TimePoint cancelled_at;
   };
-  /// An incarnation that broke a connection.
+  /// An incarnation that broke a connection and may have terminated.
   struct Suspicion {
     mesh::Incarnation incarnation;
     TimePoint since;
     std::vector<ForwardRequestPointer> broken;
   };
 
-  TargetEnd conclude();
+  TargetEnd confirmEnd();
 
   TargetPort& port_;
-  RunningRuns running_;
+  ListRuns list_running_;
   std::optional<Suspicion> suspicion_;
-  std::deque<Past> given_up_;
-  mesh::Incarnation ended_;
+  std::deque<CancelledRun> cancelled_runs_;
+  mesh::Incarnation last_ended_;
 };
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/version_filter.h
+++ b/src/sidecar/version_filter.h
@@ -5,25 +5,25 @@
 
 namespace cometstand::sidecar {
 
-/// Which versions of a service one sending of a request may go to.
+/// Selects the versions of a service that one attempt of a request may be sent to.
 struct VersionFilter {
   enum class Pool {
-    /// All but the closed ones.
+    /// All versions except the closed ones.
     All,
-    /// The new version of a running roll-out.
+    /// The new version of a running rollout.
     Canary,
-    /// All but that version and the closed ones.
+    /// All versions except the canary and the closed ones.
     Stable,
   };
 
   Pool pool = Pool::All;
-  /// The new version of the running roll-out.
+  /// The new version of the running rollout.
   std::string canary;
-  /// Share of the service's requests that the canary gets, in thousandths: so large a part of its targets
-  /// gets them, that each of these has about the load of an old one.
+  /// Share of the service's requests that the canary gets, in thousandths. They go to only so many of the
+  /// canary's targets that each of these gets about the load of a target of an older version.
   unsigned canary_permille = 0;
   std::vector<std::string> closed;
-  /// Targets that have not said their version get nothing.
+  /// Excludes targets that have not reported a version.
   bool rejects_unknown = false;
 
   bool admits(const std::string& version) const {
--- a/tests/sidecar/incarnation_series_test.cpp
+++ b/tests/sidecar/incarnation_series_test.cpp
@@ -1,4 +1,4 @@
-// Targets that start again and again under one id, with words that come late and clocks that step, by seed.
+// Randomized test of targets that restart repeatedly under one id while messages are delayed and clocks step.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <set>
@@ -13,61 +13,64 @@
 using std::chrono::seconds;
 
 constexpr int kIncarnations = 5;
-constexpr Duration kBeatInterval = milliseconds(1'500);
-constexpr Duration kLongestDelay = seconds(6);
-/// The last one lives until all late words have come, the silence of the one before was seen, and two
-/// heartbeats came.
-constexpr Duration kLastLife = kLongestDelay + TargetState::kSilence + 4 * kBeatInterval;
+constexpr Duration kHeartbeatInterval = milliseconds(1'500);
+constexpr Duration kMaxDelay = seconds(6);
+/// Lifetime of the last incarnation: long enough for all delayed messages to arrive, for the previous
+/// incarnation to count as silent, and for two more heartbeats to arrive.
+constexpr Duration kLastLifetime = kMaxDelay + TargetState::kSilence + 4 * kHeartbeatInterval;
 
-/// One word of one incarnation, as it arrives.
-struct Word {
+/// A message of an incarnation with its arrival time.
+struct Message {
   TimePoint arrives;
   Heartbeat beat;
   bool is_deregistration = false;
 };
 
-class Series {
+class IncarnationSeries {
  public:
-  explicit Series(std::uint64_t seed) : random_(seed) {
-    for (int i = 0; i < kIncarnations; ++i) live(i == kIncarnations - 1);
-    std::stable_sort(words_.begin(), words_.end(),
-                     [](const Word& left, const Word& right) { return left.arrives < right.arrives; });
-    // A sidecar that starts in between hears words that were held back beside those of the one that followed.
-    const auto missed = random_.uniform(0, words_.size() / 2);
-    words_.erase(words_.begin(), words_.begin() + static_cast<std::ptrdiff_t>(missed));
+  explicit IncarnationSeries(std::uint64_t seed) : random_(seed) {
+    for (int i = 0; i < kIncarnations; ++i) addIncarnation(i == kIncarnations - 1);
+    std::stable_sort(messages_.begin(), messages_.end(),
+                     [](const Message& left, const Message& right) { return left.arrives < right.arrives; });
+    // A sidecar that starts in the middle of the series receives delayed messages of one incarnation between
+    // those of its successor.
+    const auto missed = random_.uniform(0, messages_.size() / 2);
+    messages_.erase(messages_.begin(), messages_.begin() + static_cast<std::ptrdiff_t>(missed));
   }
 
-  const std::vector<Word>& words() const { return words_; }
+  const std::vector<Message>& messages() const { return messages_; }
   const mesh::Incarnation& last() const { return incarnation_; }
 
  private:
-  bool chance(unsigned percent) { return random_.uniform(0, 99) < percent; }
-  Duration between(Duration least, Duration most) { return random_.uniform(least, most); }
+  bool withProbability(unsigned percent) { return random_.uniform(0, 99) < percent; }
+  Duration randomBetween(Duration minimum, Duration maximum) { return random_.uniform(minimum, maximum); }
 
-  void live(bool is_last) {
-    const Duration clock_step = chance(30) ? between(-seconds(40), seconds(40)) : Duration::zero();
-    // The clock stays stepped. Two births never fall on one millisecond.
+  void addIncarnation(bool is_last) {
+    const Duration clock_step =
+        withProbability(30) ? randomBetween(-seconds(40), seconds(40)) : Duration::zero();
+    // Clock steps add up. No two incarnations start in the same millisecond.
     clock_offset_ += clock_step;
     const auto born =
         std::chrono::duration_cast<milliseconds>(now_.time_since_epoch() + clock_offset_).count();
     incarnation_ = {"a", static_cast<std::uint64_t>(born)};
     while (!born_.insert(incarnation_.born_ms).second) ++incarnation_.born_ms;
-    const TimePoint end = now_ + (is_last ? kLastLife : between(seconds(2), seconds(12)));
-    const bool drains = !is_last && chance(40);
+    const TimePoint end = now_ + (is_last ? kLastLifetime : randomBetween(seconds(2), seconds(12)));
+    const bool drains = !is_last && withProbability(40);
     std::uint64_t sequence = 0;
-    for (; now_ < end; now_ += kBeatInterval) say(++sequence, !drains || now_ + seconds(3) < end);
-    if (!is_last && chance(40)) say(++sequence, false, true);
-    now_ += between(milliseconds(100), seconds(4));
+    for (; now_ < end; now_ += kHeartbeatInterval) addMessage(++sequence, !drains || now_ + seconds(3) < end);
+    if (!is_last && withProbability(40)) addMessage(++sequence, false, true);
+    now_ += randomBetween(milliseconds(100), seconds(4));
   }
 
-  void say(std::uint64_t sequence, bool is_ready, bool is_deregistration = false) {
+  void addMessage(std::uint64_t sequence, bool is_ready, bool is_deregistration = false) {
     Heartbeat beat;
     beat.incarnation = incarnation_;
     beat.service = "shop";
     beat.sequence = sequence;
     beat.ready = is_ready;
-    const Duration delay = chance(20) ? between(Duration::zero(), kLongestDelay) : Duration::zero();
-    words_.push_back({now_ + delay, beat, is_deregistration});
+    const Duration delay =
+        withProbability(20) ? randomBetween(Duration::zero(), kMaxDelay) : Duration::zero();
+    messages_.push_back({now_ + delay, beat, is_deregistration});
   }
 
   RandomSource random_;
@@ -75,40 +78,43 @@
   Duration clock_offset_{};
   mesh::Incarnation incarnation_;
   std::set<std::uint64_t> born_;
-  std::vector<Word> words_;
+  std::vector<Message> messages_;
 };
 
-void hear(TargetState& state, const Word& word) {
-  if (word.is_deregistration) {
-    state.onDeregistered(word.beat.incarnation, word.arrives);
+void deliver(TargetState& state, const Message& message) {
+  if (message.is_deregistration) {
+    state.onDeregistered(message.beat.incarnation, message.arrives);
   } else {
-    state.onHeartbeat(word.beat, word.arrives);
+    state.onHeartbeat(message.beat, message.arrives);
   }
 }
 
 }  // namespace
 
-TEST_CASE("no word of an earlier incarnation speaks for a later one, and the last one is known",
+TEST_CASE("no message of an earlier incarnation applies to a later one, and the last one becomes current",
           "[incarnation]") {
   constexpr std::uint64_t kSeeds = 1'000;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     INFO("seed " << seed);
-    const Series series(seed);
+    const IncarnationSeries series(seed);
     TargetState state;
-    std::set<mesh::Incarnation> followed;
-    std::set<mesh::Incarnation> left;
-    for (const auto& word : series.words()) {
+    std::set<mesh::Incarnation> superseded;
+    std::set<mesh::Incarnation> seen_leaving;
+    for (const auto& message : series.messages()) {
       const auto before = state.incarnation();
-      hear(state, word);
-      const auto& now_known = state.incarnation();
-      if (now_known != before && !before.empty()) followed.insert(before);
-      if (followed.contains(now_known)) FAIL("it came back: " << now_known.name());
+      deliver(state, message);
+      const auto& current = state.incarnation();
+      if (current != before && !before.empty()) superseded.insert(before);
+      if (superseded.contains(current))
+        FAIL("superseded incarnation became current again: " << current.name());
       const bool is_ready = state.condition() == TargetCondition::Ready;
-      if (is_ready && left.contains(now_known)) FAIL("it had left: " << now_known.name());
-      if (state.condition() == TargetCondition::Leaving) left.insert(now_known);
+      if (is_ready && seen_leaving.contains(current))
+        FAIL("incarnation became ready after leaving: " << current.name());
+      if (state.condition() == TargetCondition::Leaving) seen_leaving.insert(current);
     }
-    if (state.incarnation() != series.last()) FAIL("known is " << state.incarnation().name());
-    if (state.condition() != TargetCondition::Ready) FAIL("the last one is not ready");
+    if (state.incarnation() != series.last())
+      FAIL("unexpected current incarnation: " << state.incarnation().name());
+    if (state.condition() != TargetCondition::Ready) FAIL("the last incarnation is not ready");
   }
 }
 
--- a/tests/sidecar/past_incarnations_test.cpp
+++ b/tests/sidecar/past_incarnations_test.cpp
@@ -1,8 +1,8 @@
-// Incarnations of a target that are over, in a sidecar that runs for long.
+// Guards against unbounded memory for past incarnations in a sidecar that runs for a long time.
 //
-// What happens: a target that crashes and starts again all day makes a new incarnation each time, and a
-// writer that sends farewells under made-up ids makes one with each. A sidecar remembered every one of them
-// for as long as it ran, a slow leak beside hundreds of targets. Found by reading.
+// A target in a crash loop creates a new incarnation with each restart, and a client that sends
+// deregistrations with made-up ids creates one with each message. A sidecar once kept all of them for its
+// lifetime, which is a slow memory leak.
 #include <catch2/catch.hpp>
 
 #include "sidecar/target_state.h"
@@ -13,34 +13,35 @@
 
 constexpr std::uint64_t kRestarts = 10'000;
 
-Heartbeat beatOf(std::uint64_t born_ms) {
-  auto beat = SidecarFixture::makeBeat("a", 1);
-  beat.incarnation.born_ms = born_ms;
-  return beat;
+Heartbeat makeHeartbeat(std::uint64_t born_ms) {
+  auto heartbeat = SidecarFixture::makeBeat("a", 1);
+  heartbeat.incarnation.born_ms = born_ms;
+  return heartbeat;
 }
 
 }  // namespace
 
-TEST_CASE(
-    "a target that starts again ten thousand times takes no more memory than one that did so a few times",
-    "[incarnation]") {
+TEST_CASE("the number of remembered incarnations stays bounded when a target restarts ten thousand times",
+          "[incarnation]") {
   TargetState target;
   const TimePoint now{std::chrono::seconds(100)};
-  for (std::uint64_t born = 1; born <= kRestarts; ++born) REQUIRE(target.onHeartbeat(beatOf(born), now));
-  CHECK(target.pastIncarnations() <= PastIncarnations::kMost);
-  // Late words of the newest past ones still change nothing.
-  for (std::uint64_t born = kRestarts - PastIncarnations::kMost; born < kRestarts; ++born)
-    CHECK_FALSE(target.onHeartbeat(beatOf(born), now));
+  for (std::uint64_t born = 1; born <= kRestarts; ++born)
+    REQUIRE(target.onHeartbeat(makeHeartbeat(born), now));
+  CHECK(target.pastIncarnations() <= PastIncarnations::kMaxIncarnations);
+  // Late heartbeats of the remembered incarnations are still ignored.
+  for (std::uint64_t born = kRestarts - PastIncarnations::kMaxIncarnations; born < kRestarts; ++born)
+    CHECK_FALSE(target.onHeartbeat(makeHeartbeat(born), now));
   CHECK(target.incarnation().born_ms == kRestarts);
 }
 
-TEST_CASE("farewells under made-up ids take no more memory than a bounded number of them", "[incarnation]") {
+TEST_CASE("the number of remembered incarnations stays bounded when deregistrations carry made-up ids",
+          "[incarnation]") {
   TargetState target;
   const TimePoint now{std::chrono::seconds(100)};
-  target.onHeartbeat(beatOf(1), now);
+  target.onHeartbeat(makeHeartbeat(1), now);
   for (std::uint64_t number = 1; number <= kRestarts; ++number)
     target.onDeregistered({"made-up-" + std::to_string(number), 0}, now);
-  CHECK(target.pastIncarnations() <= PastIncarnations::kMost);
+  CHECK(target.pastIncarnations() <= PastIncarnations::kMaxIncarnations);
   CHECK(target.condition() == TargetCondition::Ready);
 }
 
--- a/tests/sidecar/target_warmth_test.cpp
+++ b/tests/sidecar/target_warmth_test.cpp
@@ -18,16 +18,18 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(WarmthFixture, "a target is cold for as long as it says") {
+TEST_CASE_METHOD(WarmthFixture, "a target is cold for the time that it reports") {
   CHECK_FALSE(warmth.isCold(now));
   warmth.onHeartbeat(seconds(2), now);
   CHECK(warmth.isCold(now + milliseconds(1'999)));
-  // A little longer: times on the wire are rounded.
+  // The margin of 20 ms covers the rounding of times on the wire.
   CHECK(warmth.isCold(now + seconds(2)));
   CHECK_FALSE(warmth.isCold(now + milliseconds(2'020)));
 }
 
-TEST_CASE_METHOD(WarmthFixture, "a doubt lasts for a cold start, and a heartbeat that says warm ends none") {
+TEST_CASE_METHOD(
+    WarmthFixture,
+    "a suspicion lasts for a cold start and is not cleared by a heartbeat that reports a warm target") {
   CHECK(warmth.doubt(now));
   CHECK_FALSE(warmth.doubt(now));
   warmth.onHeartbeat(Duration::zero(), now);
@@ -35,7 +37,8 @@
   CHECK_FALSE(warmth.isCold(now + seconds(3)));
 }
 
-TEST_CASE_METHOD(WarmthFixture, "the target's answer ends a doubt either way") {
+TEST_CASE_METHOD(WarmthFixture,
+                 "a health check response clears a suspicion whether it reports a warm or a cold target") {
   warmth.doubt(now);
   warmth.onAnswered(Duration::zero(), now);
   CHECK_FALSE(warmth.isCold(now));
@@ -45,34 +48,36 @@
   CHECK(warmth.coldUntil() == now + milliseconds(1'020));
 }
 
-TEST_CASE_METHOD(WarmthFixture, "an answer that does not say leaves the doubt as it is") {
+TEST_CASE_METHOD(WarmthFixture, "a health check without a reported cold time does not clear a suspicion") {
   warmth.doubt(now);
   warmth.onAnswered(std::nullopt, now);
   CHECK(warmth.isCold(now + milliseconds(2'999)));
 }
 
-TEST_CASE_METHOD(WarmthFixture, "a doubted target is asked at once, and again while no answer comes") {
+TEST_CASE_METHOD(WarmthFixture,
+                 "a suspected target is checked at once and again until a response reports its cold time") {
   CHECK_FALSE(warmth.takeQuestion(now));
   warmth.doubt(now);
   CHECK(warmth.takeQuestion(now));
   CHECK_FALSE(warmth.takeQuestion(now + milliseconds(100)));
-  // The answer does not say.
+  // The response reports no cold time.
   warmth.onAnswered(std::nullopt, now + milliseconds(100));
   CHECK_FALSE(warmth.takeQuestion(now + milliseconds(400)));
   CHECK(warmth.takeQuestion(now + milliseconds(500)));
-  // A new doubt wants an answer of its own.
+  // A new suspicion requires a new health check.
   warmth.onAnswered(Duration::zero(), now + milliseconds(510));
   warmth.doubt(now + milliseconds(520));
   CHECK(warmth.takeQuestion(now + milliseconds(520)));
 }
 
-TEST_CASE_METHOD(WarmthFixture, "another instance is as cold as its first word says") {
+TEST_CASE_METHOD(WarmthFixture,
+                 "the first report of another instance replaces the cold time of the one before") {
   warmth.onHeartbeat(seconds(3), now);
   warmth.onNewInstance(seconds(1), now);
   CHECK(warmth.coldUntil() == now + milliseconds(1'020));
 }
 
-TEST_CASE("without a bound for cold targets nothing is doubted or asked") {
+TEST_CASE("without a rate limit for cold targets there are no suspicions and no health checks") {
   TargetWarmth warmth;
   const TimePoint now{seconds(100)};
   CHECK_FALSE(warmth.doubt(now));
@@ -81,13 +86,14 @@
   CHECK_FALSE(warmth.isCold(now));
 }
 
-TEST_CASE_METHOD(WarmthFixture, "the answer to a question that was asked before a doubt does not end it") {
+TEST_CASE_METHOD(WarmthFixture,
+                 "the response to a health check that was sent before a suspicion does not clear it") {
   warmth.doubt(now);
   REQUIRE(warmth.takeQuestion(now));
   warmth.doubt(now + milliseconds(100));
   warmth.onAnswered(Duration::zero(), now + milliseconds(200));
   CHECK(warmth.isCold(now + milliseconds(200)));
-  // It is asked once more.
+  // Another health check is due.
   CHECK(warmth.takeQuestion(now + milliseconds(500)));
   warmth.onAnswered(Duration::zero(), now + milliseconds(510));
   CHECK_FALSE(warmth.isCold(now + milliseconds(510)));
@@ -95,7 +101,7 @@
 
 TEST_CASE_METHOD(
     WarmthFixture,
-    "an answer that was asked for before the target said that it is cold does not make it warm") {
+    "the response to a health check that was sent before a report of a cold target does not make it warm") {
   warmth.doubt(now);
   REQUIRE(warmth.takeQuestion(now));
   warmth.onHeartbeat(seconds(3), now + milliseconds(10));
@@ -103,7 +109,8 @@
   CHECK(warmth.isCold(now + milliseconds(20)));
 }
 
-TEST_CASE_METHOD(WarmthFixture, "a silent target is asked again after a while, one question at a time") {
+TEST_CASE_METHOD(WarmthFixture,
+                 "an unanswered health check is repeated after its timeout, with one pending at a time") {
   warmth.doubt(now);
   REQUIRE(warmth.takeQuestion(now));
   CHECK_FALSE(warmth.takeQuestion(now + milliseconds(1'900)));
--- a/tests/sidecar/target_watch_test.cpp
+++ b/tests/sidecar/target_watch_test.cpp
@@ -27,19 +27,20 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(WatchFixture, "a target whose address refuses connections after a broken run has ended") {
-  running.push_back({makeRequest("beside"), now - milliseconds(50)});
+TEST_CASE_METHOD(WatchFixture,
+                 "a target whose address refuses connections after a broken run has terminated") {
+  running.push_back({makeRequest("concurrent"), now - milliseconds(50)});
   watch.onBroken(makeRequest("broken"), {"a"}, now);
   CHECK(target.probes == 1);
-  // Never reached the target: it was passed on after the target ended.
+  // This request started after the target had terminated, so it never reached the target.
   running.push_back({makeRequest("late"), now + milliseconds(1)});
   const auto end = watch.onProbed(ProbeOutcome::Refused, now + milliseconds(2));
   REQUIRE(end);
   CHECK(end->incarnation.id == "a");
-  CHECK(idsOf(*end) == std::vector<std::string>{"broken", "beside"});
+  CHECK(idsOf(*end) == std::vector<std::string>{"broken", "concurrent"});
 }
 
-TEST_CASE_METHOD(WatchFixture, "an end is told once, however many runs break") {
+TEST_CASE_METHOD(WatchFixture, "the end of a target is reported once, however many runs break") {
   watch.onBroken(makeRequest("1"), {"a"}, now);
   watch.onBroken(makeRequest("2"), {"a"}, now);
   CHECK(target.probes == 1);
@@ -50,22 +51,23 @@
   CHECK_FALSE(watch.onIncarnation({"b"}, now + std::chrono::seconds(4)));
 }
 
-TEST_CASE_METHOD(WatchFixture, "a target that accepts connections and answers has not ended") {
+TEST_CASE_METHOD(WatchFixture, "a target that accepts connections and answers has not terminated") {
   watch.onBroken(makeRequest("1"), {"a"}, now);
   CHECK_FALSE(watch.onProbed(ProbeOutcome::Accepted, now));
   watch.onAnswered({"a"}, now + milliseconds(10));
   CHECK_FALSE(watch.onIncarnation({"b"}, now + std::chrono::seconds(4)));
 }
 
-TEST_CASE_METHOD(WatchFixture,
-                 "an answer to a run from before the broken one does not show that a target lives") {
+TEST_CASE_METHOD(
+    WatchFixture,
+    "the response to a run that started before the broken one does not prove that the target is alive") {
   watch.onBroken(makeRequest("1"), {"a"}, now);
   watch.onAnswered({"a"}, now - milliseconds(10));
   CHECK(watch.onProbed(ProbeOutcome::Refused, now));
 }
 
 TEST_CASE_METHOD(WatchFixture,
-                 "another instance soon after a broken run shows that the one before has ended") {
+                 "another instance soon after a broken run proves that the one before has terminated") {
   watch.onBroken(makeRequest("1"), {"a"}, now);
   CHECK_FALSE(watch.onProbed(ProbeOutcome::Unknown, now));
   CHECK_FALSE(watch.onIncarnation({"a"}, now + std::chrono::seconds(1)));
@@ -74,18 +76,21 @@
   CHECK(end->incarnation.id == "a");
 }
 
-TEST_CASE_METHOD(WatchFixture, "another instance long after a broken run explains nothing") {
+TEST_CASE_METHOD(
+    WatchFixture,
+    "another instance long after a broken run does not prove that the one before has terminated") {
   watch.onBroken(makeRequest("1"), {"a"}, now);
   CHECK_FALSE(watch.onIncarnation({"b"}, now + std::chrono::seconds(11)));
 }
 
-TEST_CASE_METHOD(WatchFixture, "a run that was given up shortly before may have ended the target") {
+TEST_CASE_METHOD(WatchFixture,
+                 "a run that was cancelled shortly before a broken run may have crashed the target") {
   watch.onGivenUp(makeRequest("old"), now - std::chrono::seconds(2));
-  watch.onGivenUp(makeRequest("left"), now - milliseconds(100));
+  watch.onGivenUp(makeRequest("cancelled"), now - milliseconds(100));
   watch.onBroken(makeRequest("broken"), {"a"}, now);
   const auto end = watch.onProbed(ProbeOutcome::Refused, now);
   REQUIRE(end);
-  CHECK(idsOf(*end) == std::vector<std::string>{"broken", "left"});
+  CHECK(idsOf(*end) == std::vector<std::string>{"broken", "cancelled"});
 }
 
 }  // namespace cometstand::sidecar::test
