--- a/src/sidecar/metrics.h
+++ b/src/sidecar/metrics.h
@@ -15,12 +15,12 @@
 inline constexpr std::size_t kRefusalReasons = 9;
 inline constexpr std::size_t kRunOutcomes = 3;
 
-/// What became of callers' requests since the process started.
+/// Counts of callers' requests by outcome since the process started.
 struct CallMetrics {
-  /// By CallOutcome: from arrival to answer.
+  /// Latency from arrival to response, indexed by CallOutcome.
   std::array<LatencyHistogram, kCallOutcomes> latency;
   std::uint64_t retries = 0;
-  /// Callers that left before their answer.
+  /// Callers that disconnected before their response.
   std::uint64_t callers_gone = 0;
 
   void noteEnd(CallOutcome outcome, Duration time) {
@@ -28,13 +28,13 @@
   }
 };
 
-/// What became of requests at the gate since the process started.
+/// Counts of requests at the gate by outcome since the process started.
 struct GateMetrics {
-  /// By wire::NotRunReason.
+  /// Number of refused requests, indexed by wire::NotRunReason.
   std::array<std::uint64_t, kRefusalReasons> refusals{};
-  /// By wire::ForwardOutcome: from the start of a run to its end.
+  /// Time from the start of a run to its end, indexed by wire::ForwardOutcome.
   std::array<LatencyHistogram, kRunOutcomes> run_time;
-  /// Time in the queue of requests that were run.
+  /// Queueing time of requests that were run.
   LatencyHistogram waiting_time;
 
   void noteRefusal(wire::NotRunReason reason) { ++refusals.at(static_cast<std::size_t>(reason)); }
@@ -43,7 +43,7 @@
   }
 };
 
-/// @return the name in metrics and logs, for example "not_run".
+/// @return the name of the outcome in metrics and logs, for example "not_run".
 std::string_view nameOf(CallOutcome outcome);
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/sidecar_core.cpp
+++ b/src/sidecar/sidecar_core.cpp
@@ -12,16 +12,17 @@
 namespace cometstand::sidecar {
 namespace {
 
-constexpr Duration kExpireInterval = std::chrono::milliseconds(500);
-/// Between two reports on a roll-out; the leader takes none into account that is older than 800 ms.
+/// Interval between removals of expired endpoints.
+constexpr Duration kEndpointExpiryInterval = std::chrono::milliseconds(500);
+/// Interval between rollout reports; the leader ignores reports that are older than 800 ms.
 constexpr Duration kRolloutReportInterval = std::chrono::milliseconds(250);
-/// Timers come at least each kExpireInterval, so a longer time without any event was one in which the process
-/// stood still, and its target may have started again.
-constexpr Duration kSuspension = std::chrono::seconds(2);
+/// Time between two events above which the process was suspended, since a timer fires at least every
+/// kEndpointExpiryInterval. The target may have restarted meanwhile.
+constexpr Duration kSuspensionThreshold = std::chrono::seconds(2);
 constexpr Duration kStopCheckInterval = std::chrono::milliseconds(50);
-/// In a planned stop the target gets requests for so many of its usual run times less than callers are
-/// served: most of what began last then ends before the process does.
-constexpr int kRunsBeforeStop = 2;
+/// Number of usual run times that the gate closes before the end of a planned stop, so that most of the last
+/// requests finish before the process exits.
+constexpr int kRunTimesBeforeStop = 2;
 
 }  // namespace
 
@@ -56,7 +57,7 @@
 }
 
 void SidecarCore::advance(TimePoint now) {
-  const bool was_suspended = now >= now_ + kSuspension;
+  const bool was_suspended = now >= now_ + kSuspensionThreshold;
   now_ = now;
   if (was_suspended) gate_.doubtWarmth("suspended", now);
 }
@@ -102,7 +103,7 @@
   }
 }
 
-/// What another sidecar says of its requests for the target beside this one.
+/// Handles a message of another sidecar about its requests for the target beside this one.
 void SidecarCore::onAskerMessage(LinkId link, const wire::EnvelopeT& message, TimePoint now) {
   const GateAsker asker{link, message.request_id};
   if (const auto* request = message.body.AsForwardRequest()) {
@@ -125,7 +126,7 @@
   if (calls_.routes() == nullptr) {
     gate_.refuse(asker, request, wire::NotRunReason::TargetDown, now);
   } else if (answers_.isFull(request.answer_bytes, request.answer_credit, now)) {
-    // There may be free slots: a caller that came back for one of these would find the link as full.
+    // Slots may be free, but a retry before the link has room for the response would be refused, too.
     gate_.refuse(asker, request, wire::NotRunReason::Full, now,
                  answers_.timeUntilRoom(request.answer_bytes, now));
   } else if (request.announced_bytes == 0) {
@@ -177,7 +178,7 @@
   setColdStart(now);
   gate_.setRoutes(table);
   askTarget();
-  // Until now the endpoint was not live for others.
+  // Before the first configuration the endpoint is not published as live.
   if (is_first && gate_.target().condition() != TargetCondition::Unheard) onTargetChanged(now);
 }
 
@@ -189,7 +190,7 @@
       calls_.onEndpointLeaves({record->address, record->port}, now);
   }
   calls_.setSidecars(endpoints_.all().size());
-  chooseAmong(update, now);
+  updateSubset(update, now);
 }
 
 void SidecarCore::onRollouts(const wire::RolloutUpdateT& update, TimePoint now) {
@@ -197,14 +198,14 @@
   subset_.setWhole(rollouts_.servicesInRollout());
   openLinks(now);
   applyRollouts(now);
-  // The leader waits for this sidecar's word on the step.
+  // The leader waits for this sidecar's report on the rollout step.
   reportRollout(now);
 }
 
 void SidecarCore::onEvacuations(const wire::EvacuationUpdateT& update, TimePoint now) {
   if (!evacuations_.apply(update)) return;
   const bool is_own = evacuations_.isEvacuated(options_.zone);
-  // The zone's targets may have started again while nothing was sent to them.
+  // The zone's targets may have restarted while they received no requests.
   if (gate_.isEvacuated() && !is_own) gate_.doubtWarmth("evacuation ended", now);
   gate_.setEvacuated(is_own, now);
   logEvent(kEvacuationsChanged, {{"number", evacuations_.number()},
@@ -238,21 +239,21 @@
   report.is_closed = gate_.isClosed(now);
   report.cold_ms =
       static_cast<std::uint32_t>(ceilMilliseconds(std::max(Duration::zero(), target.coldUntil() - now)));
-  // The capacity of an evacuated zone carries nothing.
+  // The slots of an evacuated zone do not count as capacity.
   const bool is_usable = target.condition() == TargetCondition::Ready && !gate_.isEvacuated();
   report.slots = is_usable ? target.slots() : 0;
   gate_.samples().fill(report);
   control_.send(*rollouts_.leader(), std::move(report));
 }
 
-void SidecarCore::chooseAmong(const wire::EndpointUpdateT& update, TimePoint now) {
+void SidecarCore::updateSubset(const wire::EndpointUpdateT& update, TimePoint now) {
   for (const auto& record : update.records) {
     const Address address{record->address, record->port};
     const auto* endpoint = endpoints_.find(address);
     if (address == options_.advertise) {
       endpoints_.noteOwn(address);
     } else if (endpoint != nullptr) {
-      // One that leaves keeps its link until it is gone: most come back a moment later.
+      // A leaving endpoint keeps its link until its record expires, since most endpoints soon return.
       subset_.add(address, endpoint->service, endpoint->version, endpoint->zone);
     }
   }
@@ -261,8 +262,8 @@
 
 void SidecarCore::openLinks(TimePoint now) {
   auto added = subset_.refresh();
-  // Each machine in an order of its own, the own zone first: those who start together must not all connect to
-  // the same ones.
+  // Shuffled, with the own zone first, so that sidecars that start at the same time do not all connect to the
+  // same endpoints first.
   for (std::size_t left = added.size(); left > 1; --left)
     std::swap(added[left - 1], added[random_.uniform(0, left - 1)]);
   std::stable_partition(added.begin(), added.end(), [this](const Address& address) {
@@ -273,7 +274,7 @@
   peers_.onTimer(now);
 }
 
-/// What was sent over a link is answered over it.
+/// A link with outstanding requests stays open, because their responses arrive over it.
 void SidecarCore::closeLinks() {
   for (const auto& address : peers_.all()) {
     const auto* endpoint = endpoints_.find(address);
@@ -304,7 +305,7 @@
   calls_.onTimer(now);
   checkStop(now);
   if (now < expire_at_) return;
-  expire_at_ = now + kExpireInterval;
+  expire_at_ = now + kEndpointExpiryInterval;
   for (const auto& address : endpoints_.expire(now)) {
     subset_.remove(address);
     peers_.remove(address);
@@ -319,7 +320,7 @@
                              quarantine_.nextTimer(), quota_.nextTimer(), expire_at_});
   if (rollouts_.running(gate_.target().service()) != nullptr) {
     next = std::min(next, rollout_report_at_);
-    // Afterwards the gate stays as it is until the next word of a store.
+    // After the end of the lease, the gate does not change until the next update from a store.
     if (rollouts_.leaseEnd() > now_) next = std::min(next, rollouts_.leaseEnd());
   }
   if (stop_began_) next = std::min(next, stop_check_at_);
@@ -335,17 +336,17 @@
   checkStop(now);
 }
 
-/// Callers on this machine are served for a while anyway, so the target beside it goes on until what it gets,
-/// and the answers that are still to be sent, would outlast that.
-TimePoint SidecarCore::gateCloses() const {
-  const Duration last_runs = kRunsBeforeStop * gate_.usualRunTime() + answers_.expectedWait(now_);
-  return std::max(*stop_began_ + options_.leaving_grace, *stop_began_ + options_.stop_minimum - last_runs);
+/// Callers on this machine are still served for stop_minimum. The target therefore keeps receiving requests
+/// until their run time and the time to send the remaining responses would exceed that.
+TimePoint SidecarCore::gateClosesAt() const {
+  const Duration drain_time = kRunTimesBeforeStop * gate_.usualRunTime() + answers_.expectedWait(now_);
+  return std::max(*stop_began_ + options_.leaving_grace, *stop_began_ + options_.stop_minimum - drain_time);
 }
 
 void SidecarCore::checkStop(TimePoint now) {
   if (!stop_began_) return;
   stop_check_at_ = now + kStopCheckInterval;
-  if (!withdrawn_ && now >= gateCloses() - options_.leaving_grace) {
+  if (!withdrawn_ && now >= gateClosesAt() - options_.leaving_grace) {
     withdrawn_ = true;
     gate_.closeAt(now + options_.leaving_grace);
     if (gate_.target().condition() != TargetCondition::Unheard) onTargetChanged(now);
--- a/src/sidecar/sidecar_core.h
+++ b/src/sidecar/sidecar_core.h
@@ -15,15 +15,16 @@
 
 namespace cometstand::sidecar {
 
-/// The decisions of one sidecar proxy: it stands beside one target, carries the requests of the callers on
-/// its machine to any target of the mesh, and decides what its own target gets. Requests go from the sidecar
-/// beside the caller to the sidecar beside the target over one link for each pair. It keeps nothing on disk.
+/// Core logic of a sidecar proxy. The sidecar runs beside one target, forwards the requests of the callers on
+/// its machine to any target of the mesh, and controls which requests its own target gets. Requests go from
+/// the sidecar beside the caller to the sidecar beside the target over one link for each pair of sidecars.
+/// The sidecar stores nothing on disk.
 class SidecarCore : public runtime::ProcessCore, private ControlListener {
  public:
   /// @param target, callers must outlive the core.
   SidecarCore(SidecarOptions options, std::uint64_t seed, TargetPort& target, CallerPort& callers);
 
-  // What the surroundings say. Each is to be followed by the runner's flush().
+  // Events from outside. The runner must call flush() after each of them.
   void onCall(CallId id, Call call, TimePoint now) {
     advance(now);
     calls_.begin(id, std::move(call), now);
@@ -32,38 +33,38 @@
     advance(now);
     calls_.cancel(id, now);
   }
-  /// The caller took so many bytes of an answer that it gets in parts.
+  /// The caller has read this number of bytes of a response that it receives in parts.
   void onCallerRead(CallId id, std::size_t bytes, TimePoint now) {
     advance(now);
     calls_.onRead(id, bytes, now);
   }
   void onRunResult(RunId id, RunResult result, TimePoint now);
-  /// @throw Error(Invalid) if neither the settings nor the configuration names the service; nothing has
-  /// changed then.
+  /// @throw Error(Invalid) if neither the settings nor the configuration contains the service; the state is
+  /// then unchanged.
   void onHeartbeat(const Heartbeat& beat, TimePoint now);
   void onProbed(ProbeOutcome outcome, TimePoint now);
   void onHealth(const TargetHealth& health, TimePoint now);
   void onDeregistered(const mesh::Incarnation& incarnation, TimePoint now);
-  /// Somebody sent what should be a target's word on itself and cannot be read. It changes nothing.
+  /// Counts and logs a heartbeat or deregistration that could not be parsed. It has no other effect.
   void onUnreadableWord(const std::string& id, const Error& error);
-  /// @return words that could not be read, by the kind of the error.
-  const std::map<ErrorKind, std::uint64_t>& unreadableWords() const { return unreadable_words_; }
+  /// @return number of heartbeats and deregistrations that could not be parsed, by the kind of the error.
+  const std::map<ErrorKind, std::uint64_t>& unreadableMessages() const { return unreadable_words_; }
 
-  /// Other seeds from now on; stores that are known already stay so.
+  /// Replaces the seeds; stores that are already known are kept.
   void setSeeds(std::vector<runtime::Address> seeds, TimePoint now) {
     control_.setSeeds(std::move(seeds), now);
   }
 
-  /// @return true if callers may be sent here.
+  /// @return true if the sidecar is ready for requests of callers.
   bool ready() const { return calls_.routes() != nullptr && !stop_began_; }
-  /// @return the configuration in force; nullptr before the first one.
+  /// @return the active configuration; nullptr before the first one.
   const mesh::RouteTablePointer& routes() const { return calls_.routes(); }
-  /// @return true from the beginning of a planned stop on.
+  /// @return true once a planned stop has begun.
   bool stopping() const { return stop_began_.has_value(); }
   const CallMetrics& callMetrics() const { return calls_.metrics(); }
   std::size_t callsInFlight() const { return calls_.inFlight(); }
   const TargetGate& gate() const { return gate_; }
-  /// @return time until the target counts as warm, as of the newest event.
+  /// @return time until the target is considered warm, as of the last processed event.
   Duration targetColdTime() const { return gate_.coldTime(now_); }
   const BodyIntake& intake() const { return intake_; }
   const AnswerTransfers& answers() const { return answers_; }
@@ -98,14 +99,14 @@
     if (quota_.onGrant(store, grant, now)) calls_.onQuota(now);
   }
 
-  /// Brings the gate in line with what is known of the target's version.
+  /// Updates the gate with the rollout and the closed state of the target's version.
   void applyRollouts(TimePoint now);
   void reportRollout(TimePoint now);
-  /// To be called with each event: finds out whether the process was suspended.
+  /// Must be called for each event: updates the time and detects whether the process was suspended.
   void advance(TimePoint now);
   void askIfDoubted(TimePoint now);
   bool hasTurned(TimePoint now) const;
-  /// Takes the cold start of the target's service from the configuration in force.
+  /// Applies the cold start parameters of the target's service from the active configuration.
   void setColdStart(TimePoint now);
 
   void onAskerMessage(runtime::LinkId link, const wire::EnvelopeT& message, TimePoint now);
@@ -116,17 +117,17 @@
   void askTarget();
   bool isNamed(const std::string& service) const;
   wire::EndpointRecordT ownRecord() const;
-  /// Takes the endpoints of the update into the subset, or out of it.
-  void chooseAmong(const wire::EndpointUpdateT& update, TimePoint now);
-  /// Opens links to the endpoints that have come into the subset.
+  /// Adds the endpoints of the update to the subset, and opens links to those selected.
+  void updateSubset(const wire::EndpointUpdateT& update, TimePoint now);
+  /// Opens links to the endpoints that were added to the subset.
   void openLinks(TimePoint now);
-  /// Closes idle links to endpoints that are not in it any more.
+  /// Closes idle links to endpoints that are no longer in the subset.
   void closeLinks();
   void checkStop(TimePoint now);
-  /// @return true if nothing is under way for callers or for other sidecars.
+  /// @return true if no request or response of callers or other sidecars is in progress.
   bool isIdle() const;
-  /// @return when the gate closes in a planned stop.
-  TimePoint gateCloses() const;
+  /// @return when the gate stops admitting requests in a planned stop.
+  TimePoint gateClosesAt() const;
 
   SidecarOptions options_;
   RandomSource random_;
@@ -153,10 +154,10 @@
   TimePoint expire_at_;
   std::optional<TimePoint> stop_began_;
   TimePoint stop_check_at_;
-  /// The endpoint's record says that it leaves, since this sidecar stops.
+  /// The endpoint is published as leaving because this sidecar stops.
   bool withdrawn_ = false;
   std::map<ErrorKind, std::uint64_t> unreadable_words_;
-  /// The endpoint's newest record says that the target is cold.
+  /// The newest published record of the endpoint marks the target as cold.
   bool is_reported_cold_ = false;
 };
 
--- a/src/sidecar/sidecar_settings.h
+++ b/src/sidecar/sidecar_settings.h
@@ -9,14 +9,15 @@
 struct SidecarSettings {
   settings::CommonSettings common;
   SidecarOptions options;
-  /// Of `options.zones`: each "ZONE=REGION".
+  /// Entries of the form "ZONE=REGION" from which `options.zones` is built.
   std::vector<std::string> zones;
 };
 
-/// Declares every setting of a sidecar proxy, together with its checks.
+/// Declares all settings of a sidecar proxy and their checks.
 void declareSidecarSettings(settings::SettingsTable& table, SidecarSettings& sidecar);
 
-/// Takes the common settings over into the options; call it once they are read.
+/// Completes the options from the common settings and the zone entries. Must be called after the settings
+/// were read.
 void completeSidecarOptions(SidecarSettings& sidecar);
 
 }  // namespace cometstand::sidecar
--- a/tests/quarantine/crash_mesh.cpp
+++ b/tests/quarantine/crash_mesh.cpp
@@ -11,11 +11,11 @@
 constexpr const char* kService = "desk";
 constexpr const char* kHost = "desk.example";
 constexpr unsigned kSlots = 6;
-constexpr Duration kHeartbeat = milliseconds(1'500);
-constexpr Duration kAtOnce = milliseconds(1);
-/// How long a target is down after it ended.
-constexpr Duration kLeastDown = milliseconds(2'500);
-constexpr Duration kMostDown = milliseconds(5'000);
+constexpr Duration kHeartbeatInterval = milliseconds(1'500);
+constexpr Duration kMinimalDelay = milliseconds(1);
+/// Range of the time that a target is down after a crash.
+constexpr Duration kMinDowntime = milliseconds(2'500);
+constexpr Duration kMaxDowntime = milliseconds(5'000);
 
 wire::MeshConfigurationT makeConfiguration() {
   wire::MeshConfigurationT configuration;
@@ -67,33 +67,33 @@
   sidecars.push_back(machine.id);
   network.start(machine.id);
   startTarget(machine);
-  keepBeating(machine);
-  keepCalling(machine);
+  scheduleHeartbeats(machine);
+  scheduleCalls(machine);
 }
 
 void CrashMesh::startTarget(Machine& machine) {
   machine.is_up = true;
   machine.sequence = 0;
   machine.instance = "i-" + std::to_string(next_instance_++);
-  beat(machine);
+  sendHeartbeat(machine);
 }
 
-/// All requests at the target break at once; the poisonous ones among them are noted as the cause.
+/// All requests at the target end at once with an unknown outcome.
 void CrashMesh::crashTarget(Machine& machine) {
   if (!machine.is_up) return;
   machine.is_up = false;
   const auto running = machine.running;
-  for (const auto& [run, what] : running)
-    result(machine, run, wire::ForwardOutcome::Unknown, Duration::zero());
-  const Duration down = random_.uniform(kLeastDown, kMostDown);
-  network.at(network.now() + down, [this, &machine] { startTarget(machine); });
+  for (const auto& [run, cancelled_run] : running)
+    reportResult(machine, run, wire::ForwardOutcome::Unknown, Duration::zero());
+  const Duration downtime = random_.uniform(kMinDowntime, kMaxDowntime);
+  network.at(network.now() + downtime, [this, &machine] { startTarget(machine); });
 }
 
 void CrashMesh::crashTargets(std::size_t count) {
   for (std::size_t i = 0; i < std::min(count, machines_.size()); ++i) crashTarget(machines_[i]);
 }
 
-void CrashMesh::beat(Machine& machine) {
+void CrashMesh::sendHeartbeat(Machine& machine) {
   if (!machine.is_up) return;
   network.call(machine.id, [this, &machine] {
     sidecar::Heartbeat heartbeat;
@@ -106,14 +106,14 @@
   });
 }
 
-void CrashMesh::keepBeating(Machine& machine) {
-  network.at(network.now() + kHeartbeat, [this, &machine] {
-    beat(machine);
-    keepBeating(machine);
+void CrashMesh::scheduleHeartbeats(Machine& machine) {
+  network.at(network.now() + kHeartbeatInterval, [this, &machine] {
+    sendHeartbeat(machine);
+    scheduleHeartbeats(machine);
   });
 }
 
-std::string CrashMesh::drawPath() {
+std::string CrashMesh::randomPath() {
   constexpr std::uint64_t kKinds = 4;
   const auto kind = random_.uniform(0, kKinds - 1);
   if (kind == 0) return "/write/" + std::to_string(next_call_);
@@ -121,11 +121,11 @@
   return "/read/popular";
 }
 
-void CrashMesh::keepCalling(Machine& machine) {
+void CrashMesh::scheduleCalls(Machine& machine) {
   const Duration pause = random_.uniform(Duration::zero(), 2 * shape_.call_interval);
   network.at(network.now() + pause, [this, &machine] {
-    call(machine, drawPath());
-    keepCalling(machine);
+    call(machine, randomPath());
+    scheduleCalls(machine);
   });
 }
 
@@ -147,14 +147,15 @@
   call(machines_.at(random_.uniform(0, machines_.size() - 1)), path);
 }
 
-void CrashMesh::keepSending(const std::string& path, Duration interval) {
+void CrashMesh::sendRepeatedly(const std::string& path, Duration interval) {
   network.at(network.now() + interval, [this, path, interval] {
     sendOnce(path);
-    keepSending(path, interval);
+    sendRepeatedly(path, interval);
   });
 }
 
-void CrashMesh::result(Machine& machine, sidecar::RunId run, wire::ForwardOutcome outcome, Duration after) {
+void CrashMesh::reportResult(Machine& machine, sidecar::RunId run, wire::ForwardOutcome outcome,
+                             Duration after) {
   network.at(network.now() + after, [this, &machine, run, outcome] {
     if (machine.running.erase(run) == 0) return;
     network.call(machine.id, [this, &machine, run, outcome] {
@@ -171,13 +172,13 @@
   const auto& path = order.request->target;
   running[order.id] = {path};
   if (!is_up || order.instance != instance) {
-    mesh->result(*this, order.id, wire::ForwardOutcome::NotRun, kAtOnce);
+    mesh->reportResult(*this, order.id, wire::ForwardOutcome::NotRun, kMinimalDelay);
     return;
   }
   mesh->records_[path].begun.push_back(mesh->network.now());
   const Duration time = mesh->random_.uniform(milliseconds(60), milliseconds(180));
   if (!mesh->poison_.contains(path)) {
-    mesh->result(*this, order.id, wire::ForwardOutcome::Answered, time);
+    mesh->reportResult(*this, order.id, wire::ForwardOutcome::Answered, time);
     return;
   }
   mesh->network.at(mesh->network.now() + time, [this, path, victim = instance] {
@@ -188,7 +189,7 @@
 }
 
 void CrashMesh::Machine::probe() {
-  mesh->network.at(mesh->network.now() + kAtOnce, [this] {
+  mesh->network.at(mesh->network.now() + kMinimalDelay, [this] {
     const auto outcome = is_up ? sidecar::ProbeOutcome::Accepted : sidecar::ProbeOutcome::Refused;
     mesh->network.call(id, [this, outcome] { mesh->sidecarAt(id).onProbed(outcome, mesh->network.now()); });
   });
@@ -215,7 +216,7 @@
   }
 }
 
-std::size_t CrashMesh::begunAfterThirdEnd(const std::string& path, Duration after) {
+std::size_t CrashMesh::begunAfterThirdCrash(const std::string& path, Duration after) {
   constexpr std::size_t kThird = 2;
   const auto& record = records_[path];
   if (record.ended.size() <= kThird) return 0;
@@ -224,7 +225,7 @@
                                                 [bound](TimePoint begun) { return begun > bound; }));
 }
 
-CrashMesh::PathRecord CrashMesh::innocents() const {
+CrashMesh::PathRecord CrashMesh::harmlessRequests() const {
   PathRecord sum;
   for (const auto& [path, record] : records_) {
     if (!record.ended.empty()) continue;
--- a/tests/quarantine/crash_mesh.h
+++ b/tests/quarantine/crash_mesh.h
@@ -20,29 +20,29 @@
 using rollout::test::ProcessNetwork;
 using rollout::test::StoreGroup;
 
-/// A mesh to be built.
+/// Size and load of the simulated mesh.
 struct MeshShape {
   std::size_t stores = 3;
   std::size_t sidecars = 8;
-  /// Between two requests of one sidecar's callers, on average.
+  /// Average interval between the requests of one sidecar's callers.
   Duration call_interval = std::chrono::milliseconds(25);
-  /// Contents of repeatable requests; half of all requests are the first one.
+  /// Number of different contents of repeatable requests; half of all requests are for one popular path.
   std::uint64_t contents = 20;
 };
 
-/// Stores, and sidecars whose targets end when they run a request of certain contents. Callers send sound
-/// requests to all sidecars all the time, many of them with equal contents.
+/// Simulated stores and sidecars whose targets crash when they run a request with certain contents. Callers
+/// continuously send harmless requests to all sidecars, many of them with equal contents.
 class CrashMesh {
  public:
   explicit CrashMesh(std::uint64_t seed, MeshShape shape = {});
 
-  /// Requests for this path end the targets that run them.
+  /// Makes requests for this path crash the targets that run them.
   void poison(const std::string& path) { poison_.insert(path); }
-  void cure(const std::string& path) { poison_.erase(path); }
-  /// From now on a request for that path comes to a drawn sidecar each interval.
-  void keepSending(const std::string& path, Duration interval);
+  void removePoison(const std::string& path) { poison_.erase(path); }
+  /// Sends a request for the path to a random sidecar once per interval from now on.
+  void sendRepeatedly(const std::string& path, Duration interval);
   void sendOnce(const std::string& path);
-  /// The targets of so many sidecars end now, whatever they run.
+  /// Crashes the targets of the first `count` sidecars, whatever they run.
   void crashTargets(std::size_t count);
   void runFor(Duration time) { network.runFor(time); }
 
@@ -52,23 +52,24 @@
     return dynamic_cast<sidecar::SidecarCore&>(network.core(id));
   }
 
-  /// What became of the requests for one path.
+  /// Outcomes of the requests for one path.
   struct PathRecord {
-    /// When a target began to run it.
+    /// When targets began to run a request for the path.
     std::vector<TimePoint> begun;
-    /// When a target ended under it.
+    /// When targets crashed because of a request for the path.
     std::vector<TimePoint> ended;
     std::size_t answered = 0;
     std::size_t not_run = 0;
     std::size_t failed = 0;
-    /// Refused since it ended targets.
+    /// Requests that were refused by the quarantine.
     std::size_t quarantined = 0;
   };
   const PathRecord& at(const std::string& path) { return records_[path]; }
-  /// @return runs that began later than `after` since the path's third end of a target; 0 without a third.
-  std::size_t begunAfterThirdEnd(const std::string& path, Duration after);
-  /// Sums over all paths that never ended a target.
-  PathRecord innocents() const;
+  /// @return number of runs that began more than `after` after the third crash that the path caused; 0 if it
+  /// caused fewer than three.
+  std::size_t begunAfterThirdCrash(const std::string& path, Duration after);
+  /// @return the sums over all paths that never crashed a target.
+  PathRecord harmlessRequests() const;
 
   ProcessNetwork network;
   std::vector<ProcessId> sidecars;
@@ -99,12 +100,12 @@
   void addSidecar();
   void startTarget(Machine& machine);
   void crashTarget(Machine& machine);
-  void beat(Machine& machine);
-  void keepBeating(Machine& machine);
-  void keepCalling(Machine& machine);
+  void sendHeartbeat(Machine& machine);
+  void scheduleHeartbeats(Machine& machine);
+  void scheduleCalls(Machine& machine);
   void call(Machine& machine, const std::string& path);
-  std::string drawPath();
-  void result(Machine& machine, sidecar::RunId run, wire::ForwardOutcome outcome, Duration after);
+  std::string randomPath();
+  void reportResult(Machine& machine, sidecar::RunId run, wire::ForwardOutcome outcome, Duration after);
 
   RandomSource random_;
   MeshShape shape_;
--- a/tests/sidecar/sidecar_core_test.cpp
+++ b/tests/sidecar/sidecar_core_test.cpp
@@ -4,8 +4,10 @@
 
 using wire::ForwardOutcome;
 
-// wn-mesh scale-1: after all processes had ended, targets that ran on got nothing until their next heartbeat.
-TEST_CASE("a sidecar that starts asks its target, and passes requests to it before its next heartbeat") {
+// After all sidecars and stores had restarted, targets that kept running got no requests until their next
+// heartbeat.
+TEST_CASE(
+    "a sidecar that starts checks its target's health and sends it requests before the next heartbeat") {
   SidecarFixture sidecar;
   sidecar.configure();
   REQUIRE(sidecar.target.asked == std::vector<std::string>{"/health"});
@@ -13,13 +15,12 @@
   sidecar.call("/read/1");
   REQUIRE(sidecar.target.orders.size() == 1);
   CHECK(sidecar.target.orders[0].instance == "a");
-  // The heartbeat knows better, whatever its number.
+  // A heartbeat overrides the health check, whatever its sequence number.
   sidecar.core.onHeartbeat(SidecarFixture::makeBeat("a", 1, false), sidecar.now);
   CHECK(sidecar.core.gate().target().condition() == TargetCondition::Leaving);
 }
 
-TEST_CASE(
-    "a target that is not well when asked gets nothing, and what was heard counts more than what was asked") {
+TEST_CASE("a target that fails its health check gets no requests, and a heartbeat overrides a health check") {
   SidecarFixture sidecar;
   sidecar.configure();
   sidecar.core.onHealth({false, "a", 2}, sidecar.now);
@@ -29,7 +30,9 @@
   CHECK(sidecar.core.gate().target().condition() == TargetCondition::Leaving);
 }
 
-TEST_CASE("the revision in force never falls, and an update that does not fit is asked for again in whole") {
+TEST_CASE(
+    "the active revision never decreases, and a full configuration is requested after an update that does "
+    "not apply") {
   SidecarFixture sidecar;
   sidecar.configure(5);
   const auto subscriptions = [&sidecar] {
@@ -52,7 +55,7 @@
   CHECK(subscriptions() == before + 1);
 }
 
-TEST_CASE("a store that no longer hears its leader is left for one that does") {
+TEST_CASE("a sidecar switches from a store that lost contact with its leader to one that has not") {
   SidecarFixture sidecar;
   const runtime::Address other{"10.0.0.8", 7000};
   auto beat = sidecar.tellStores({{other, "zone-b"}});
@@ -62,13 +65,14 @@
   beat.is_current = false;
   sidecar.sent.clear();
   sidecar.say(SidecarFixture::kStore, beat);
-  const auto asked = std::count_if(sidecar.sent.begin(), sidecar.sent.end(), [&](const auto& message) {
-    return message.link == sidecar.links.at(other) && message.message->body.AsNodeSubscribe() != nullptr;
-  });
-  CHECK(asked == 1);
+  const auto subscriptions =
+      std::count_if(sidecar.sent.begin(), sidecar.sent.end(), [&](const auto& message) {
+        return message.link == sidecar.links.at(other) && message.message->body.AsNodeSubscribe() != nullptr;
+      });
+  CHECK(subscriptions == 1);
 }
 
-TEST_CASE("a store that was silent while another was the source has a while to answer once it is chosen") {
+TEST_CASE("a store that sent nothing while another was the source gets time to respond once it is chosen") {
   SidecarFixture sidecar;
   const runtime::Address other{"10.0.0.8", 7000};
   auto beat = sidecar.tellStores({{other, "zone-b"}});
@@ -88,9 +92,9 @@
   CHECK(sidecar.links.at(other) == link);
 }
 
-// steppe-record, trouble-1, 5.04 to 7.56 s (score e68ce570, CONFIG): the only store of a zone was frozen, and
-// its sidecars took no other one, since what they had heard of the others' revisions was seconds old.
-TEST_CASE("a silent source is left for a store whose last word is older than the revision in force") {
+// The only store of a zone froze for 2.5 s, and its sidecars switched to no other store, because the
+// revisions that the others had last reported were seconds old and below the active one.
+TEST_CASE("a silent source is replaced by a store whose last heartbeat has a revision below the active one") {
   SidecarFixture sidecar;
   const runtime::Address other{"10.0.0.8", 7000};
   auto beat = sidecar.tellStores({{SidecarFixture::kStore, "zone-a"}, {other, "zone-b"}});
@@ -105,8 +109,8 @@
       return message.link == sidecar.links.at(store) && request != nullptr && request->wants_updates;
     });
   };
-  SECTION("while it says nothing else") {}
-  SECTION("but not for one that says so now") {
+  SECTION("if the other store sends nothing newer") {}
+  SECTION("but not if the other store now reports a lower revision") {
     beat.revision = 4;
     sidecar.say(other, beat);
     sidecar.sent.clear();
@@ -118,12 +122,12 @@
   CHECK(subscribed_to(other));
 }
 
-// steppe-record-large, trouble-1, 11.6 s: machines that had been cut off took configuration and endpoints
-// from a store of another zone first, and from their own zone's a moment later.
-TEST_CASE("after a cut a sidecar waits a while for a store of its own zone") {
+// After a network partition had ended, sidecars received the configuration and the endpoints twice: first
+// from a store of another zone and a moment later from a store of their own zone.
+TEST_CASE("after a partition a sidecar waits for a store of its own zone before it chooses another") {
   SidecarFixture sidecar;
-  const runtime::Address near{"10.0.0.8", 7000};
-  auto beat = sidecar.tellStores({{SidecarFixture::kStore, "zone-b"}, {near, "zone-a"}});
+  const runtime::Address own_zone_store{"10.0.0.8", 7000};
+  auto beat = sidecar.tellStores({{SidecarFixture::kStore, "zone-b"}, {own_zone_store, "zone-a"}});
   sidecar.configure();
   const auto subscriptions_to = [&sidecar](const runtime::Address& store) {
     return std::count_if(sidecar.sent.begin(), sidecar.sent.end(), [&](const auto& message) {
@@ -131,7 +135,7 @@
       return message.link == sidecar.links.at(store) && request != nullptr && request->wants_updates;
     });
   };
-  for (const auto& store : {SidecarFixture::kStore, near}) {
+  for (const auto& store : {SidecarFixture::kStore, own_zone_store}) {
     sidecar.core.onLinkClosed(sidecar.links.at(store), sidecar.now);
     sidecar.step();
   }
@@ -141,17 +145,17 @@
   beat.revision = 1;
   sidecar.say(SidecarFixture::kStore, beat);
   CHECK(subscriptions_to(SidecarFixture::kStore) == 0);
-  SECTION("which is taken when it comes") {
-    sidecar.say(near, beat);
-    CHECK(subscriptions_to(near) == 1);
+  SECTION("chooses the own zone's store when it connects") {
+    sidecar.say(own_zone_store, beat);
+    CHECK(subscriptions_to(own_zone_store) == 1);
   }
-  SECTION("and takes another if it does not come") {
+  SECTION("chooses the other store if the own zone's does not connect") {
     sidecar.pass(milliseconds(600));
     CHECK(subscriptions_to(SidecarFixture::kStore) == 1);
   }
 }
 
-TEST_CASE("a planned stop ends before its time limit, also with a request that is never answered") {
+TEST_CASE("a planned stop ends before its time limit even with a request that is never answered") {
   auto options = SidecarFixture::makeOptions();
   options.stop_time_limit = std::chrono::seconds(3);
   SidecarFixture sidecar(options);
@@ -164,9 +168,9 @@
   CHECK(sidecar.core.stopped());
 }
 
-// The shifted deployment, trouble-1: four machines in turn stopped each 1.2 s, and a tenth of all slots stood
-// empty while each served its callers for two seconds more.
-TEST_CASE("in a planned stop the target goes on until what it gets would outlast the stop") {
+// With four machines stopping in turn every 1.2 s, a tenth of all slots stayed empty, because the targets got
+// no more requests while the sidecars served their callers for two more seconds.
+TEST_CASE("in a planned stop the target gets requests until they would outlast the stop") {
   const auto options = SidecarFixture::makeOptions();
   SidecarFixture sidecar(options);
   sidecar.configure();
@@ -198,7 +202,7 @@
   sidecar.call("/read/2");
   CHECK(runs() == 2);
   finish();
-  // Two usual runs before the end of the stop the gate is closed, and everybody was told before.
+  // The gate closes two usual run times before the end of the stop, after the withdrawal was published.
   sidecar.pass(milliseconds(500));
   CHECK(withdrawals() > 0);
   sidecar.call("/read/3");
@@ -207,12 +211,12 @@
   CHECK(sidecar.core.stopped());
 }
 
-TEST_CASE("a sidecar tries the stores that its settings name later") {
+TEST_CASE("a sidecar connects to seeds that are added to its settings later") {
   SidecarFixture sidecar;
-  const runtime::Address later{"10.0.0.77", 7000};
-  sidecar.core.setSeeds({later}, sidecar.now);
+  const runtime::Address later_seed{"10.0.0.77", 7000};
+  sidecar.core.setSeeds({later_seed}, sidecar.now);
   sidecar.pass(milliseconds(10));
-  CHECK(sidecar.links.contains(later));
+  CHECK(sidecar.links.contains(later_seed));
 }
 
 }  // namespace cometstand::sidecar::test
--- a/tests/sidecar/sidecar_fixture.h
+++ b/tests/sidecar/sidecar_fixture.h
@@ -15,7 +15,7 @@
 
 using std::chrono::milliseconds;
 
-/// Notes what a sidecar sends to its target.
+/// Records what a sidecar sends to its target.
 class RecordingTarget : public TargetPort {
  public:
   void run(RunOrder order) override { orders.push_back(std::move(order)); }
@@ -29,7 +29,7 @@
   unsigned probes = 0;
 };
 
-/// Notes what callers are answered.
+/// Records the responses to callers.
 class RecordingCallers : public CallerPort {
  public:
   void answer(CallId id, CallAnswer answer) override {
@@ -40,7 +40,7 @@
   std::map<CallId, CallAnswer> answers;
 };
 
-/// One sidecar, with the stores, the other sidecars, the target and the callers played by the test.
+/// A sidecar whose stores, peers, target and callers are simulated by the test.
 class SidecarFixture {
  public:
   static inline const runtime::Address kSelf{"10.0.0.1", 7000};
@@ -51,7 +51,7 @@
   explicit SidecarFixture(SidecarOptions options = makeOptions())
       : SidecarFixture(std::move(options), callers) {}
 
-  /// @param other_callers are answered in the place of `callers`.
+  /// @param other_callers receives the responses instead of `callers`.
   SidecarFixture(SidecarOptions options, CallerPort& other_callers)
       : core(std::move(options), 1, target, other_callers) {
     core.start(runtime::EmptyFileReader(), now);
@@ -69,7 +69,7 @@
     return options;
   }
 
-  /// Carries out what the core asks for: every connect succeeds at once.
+  /// Executes the actions of the core; every connect succeeds at once.
   void step() {
     auto actions = core.takeActions();
     for (auto& message : actions.messages) sent.push_back(std::move(message));
@@ -80,6 +80,7 @@
     }
   }
 
+  /// Advances the time and fires the timers that are due.
   void pass(Duration time) {
     const TimePoint end = now + time;
     while (core.nextTimer() <= end) {
@@ -90,6 +91,7 @@
     now = end;
   }
 
+  /// Delivers a message to the sidecar over the link of `from`.
   template <typename Message>
   void say(const runtime::Address& from, Message message, std::uint64_t request_id = 0) {
     core.onMessage(links.at(from), runtime::makeEnvelope(std::move(message), request_id), now);
@@ -101,7 +103,7 @@
     std::string zone;
   };
 
-  /// The first store names these, to which the sidecar then links itself. @return the heartbeat that said so.
+  /// Announces the stores through kStore, so that the sidecar connects to them. @return the heartbeat sent.
   wire::StoreBeatT tellStores(const std::vector<NamedStore>& stores) {
     wire::StoreBeatT beat;
     beat.is_current = true;
@@ -195,14 +197,14 @@
     return id;
   }
 
-  /// @return the forwards to that address that were not looked at yet, by request number.
+  /// Removes the forward requests to the address from `sent`. @return their request ids.
   std::vector<std::uint64_t> forwardsTo(const runtime::Address& address) {
     std::vector<std::uint64_t> numbers;
     std::erase_if(sent, [&](const auto& message) {
-      const bool fits =
+      const bool matches =
           message.link == links.at(address) && message.message->body.AsForwardRequest() != nullptr;
-      if (fits) numbers.push_back(message.message->request_id);
-      return fits;
+      if (matches) numbers.push_back(message.message->request_id);
+      return matches;
     });
     return numbers;
   }
