--- a/src/sidecar/events.h
+++ b/src/sidecar/events.h
@@ -8,10 +8,9 @@
 
 inline constexpr EventDefinition kStoreLinked{7001, LogLevel::Info, "store_linked",
                                               "A link to a store was opened. No action is needed."};
-inline constexpr EventDefinition kStoreLost{
-    7002, LogLevel::Warning, "store_lost",
-    "A link to a store was closed. The sidecar continues with the other "
-    "stores; check the store if the link is not reopened."};
+inline constexpr EventDefinition kStoreLost{7002, LogLevel::Warning, "store_lost",
+                                            "A link to a store was closed. The sidecar continues with the "
+                                            "other stores; check the store if the link is not reopened."};
 inline constexpr EventDefinition kSourceChosen{
     7003, LogLevel::Info, "source_chosen",
     "The sidecar now receives configurations and endpoints from this store. No action is needed."};
@@ -23,14 +22,12 @@
 inline constexpr EventDefinition kConfigurationInForce{
     7005, LogLevel::Info, "configuration_in_force",
     "Requests are now routed by this revision of the configuration. No action is needed."};
-inline constexpr EventDefinition kTargetChanged{
-    7006, LogLevel::Info, "target_changed",
-    "The target beside this sidecar appeared, is leaving, or was replaced by another instance. No action is "
-    "needed."};
-inline constexpr EventDefinition kCallEnded{
-    7007, LogLevel::Info, "call_ended",
-    "A caller's request ended without a response of the target. The fields "
-    "contain the cause; see docs/OPERATIONS.md."};
+inline constexpr EventDefinition kTargetChanged{7006, LogLevel::Info, "target_changed",
+                                                "The target beside this sidecar appeared, is leaving, or was "
+                                                "replaced by another instance. No action is needed."};
+inline constexpr EventDefinition kCallEnded{7007, LogLevel::Info, "call_ended",
+                                            "A caller's request ended without a response of the target. The "
+                                            "fields contain the cause; see docs/OPERATIONS.md."};
 inline constexpr EventDefinition kCallRetried{
     7008, LogLevel::Info, "call_retried",
     "A request was retried at another endpoint after an endpoint that may have run it. No action is needed."};
@@ -44,8 +41,8 @@
 
 inline constexpr EventDefinition kUpdateRefused{
     7011, LogLevel::Warning, "update_refused",
-    "A configuration update could not be applied, and the full configuration "
-    "was requested. Check that all machines run the same release."};
+    "A configuration update could not be applied, and the full configuration was requested. Check that all "
+    "machines run the same release."};
 
 inline constexpr EventDefinition kCallAnswered{
     7012, LogLevel::Info, "call_answered",
@@ -56,62 +53,54 @@
 
 inline constexpr EventDefinition kRunGivenUp{
     7014, LogLevel::Info, "run_given_up",
-    "A request was cancelled while it ran at the target: its deadline "
-    "passed, its caller disconnected, or the link was closed. "
-    "A high took_ms means that the target was slow."};
+    "A request was cancelled while it ran at the target: its deadline passed, its caller disconnected, or "
+    "the link was closed. A high took_ms means that the target was slow."};
 
 inline constexpr EventDefinition kBodyRefused{
     7015, LogLevel::Info, "body_refused",
-    "A request with an announced large body was refused before the body "
-    "was received completely: the link to this sidecar was too slow "
-    "for it, or the target is leaving. A high intake_wait_ms on all "
-    "sidecars of a service means that the links of its machines are "
-    "too narrow for the uploads."};
+    "A request with an announced large body was refused before the body was received completely: the link to "
+    "this sidecar was too slow for it, or the target is leaving. A high intake_wait_ms on all sidecars of a "
+    "service means that the links of its machines are too narrow for the uploads."};
 
 inline constexpr EventDefinition kTargetEnded{
     7016, LogLevel::Warning, "target_ended",
-    "The target beside this sidecar terminated while it had requests; "
-    "contents lists their digests. If the same digest occurs "
-    "repeatedly in these events, that request crashes the targets "
-    "that run it: see docs/OPERATIONS.md."};
+    "The target beside this sidecar terminated while it had requests; contents lists their digests. If the "
+    "same digest occurs repeatedly in these events, that request crashes the targets that run it: see "
+    "docs/OPERATIONS.md."};
 
 inline constexpr EventDefinition kCallQuarantined{
     7017, LogLevel::Warning, "call_quarantined",
     "A caller's request was refused without being run, because requests with the same content or path "
-    "crashed "
-    "several targets. Search content_quarantined on the stores for the content or the path: see "
+    "crashed several targets. Search content_quarantined on the stores for the content or the path: see "
     "docs/OPERATIONS.md."};
 
 inline constexpr EventDefinition kTargetDoubted{
     7018, LogLevel::Info, "target_doubted",
     "The target beside this sidecar may have restarted unnoticed and be cold. A health check is sent, and "
-    "the "
-    "rate limit for cold targets applies until the target has answered. No action is needed."};
-inline constexpr EventDefinition kTargetAsked{7019, LogLevel::Info, "target_asked",
-                                              "The target beside this sidecar answered a health check; "
-                                              "cold_ms is the time until it is considered warm. "
-                                              "If says_cold is false, the target reported no cold time, and "
-                                              "the full duration of a cold start applies."};
+    "the rate limit for cold targets applies until the target has answered. No action is needed."};
+inline constexpr EventDefinition kTargetAsked{
+    7019, LogLevel::Info, "target_asked",
+    "The target beside this sidecar answered a health check; cold_ms is the time until it is considered "
+    "warm. If says_cold is false, the target reported no cold time, and the full duration of a cold start "
+    "applies."};
 
 inline constexpr EventDefinition kEvacuationsChanged{
     7020, LogLevel::Info, "evacuations_changed",
     "The set of evacuated zones, whose targets get no requests, changed; own_zone is true if the target "
-    "beside "
-    "this sidecar is in one of them. Running requests continue. No action is needed."};
+    "beside this sidecar is in one of them. Running requests continue. No action is needed."};
 
 inline constexpr EventDefinition kCallKeyUnknown{
     7035, LogLevel::Info, "call_key_unknown",
     "A caller's request was refused without being run: its route requires a key, and the request has none, "
-    "or "
-    "one that belongs to no tenant in this revision. If a tenant owns the key, compare the revision with the "
-    "newest one."};
+    "or one that belongs to no tenant in this revision. If a tenant owns the key, compare the revision with "
+    "the newest one."};
 
 inline constexpr EventDefinition kZoneDark{
     7031, LogLevel::Warning, "zone_dark",
     "Several machines of a zone stopped answering this sidecar, and no machine of the zone has answered "
-    "since. "
-    "The endpoints of the zone are avoided, except for occasional requests that check whether one answers "
-    "again. If many sidecars log this event for one zone, the zone is disconnected or without power."};
+    "since. The endpoints of the zone are avoided, except for occasional requests that check whether one "
+    "answers again. If many sidecars log this event for one zone, the zone is disconnected or without "
+    "power."};
 
 inline constexpr EventDefinition kZoneHeard{
     7032, LogLevel::Info, "zone_heard",
--- a/src/sidecar/sidecar_options.h
+++ b/src/sidecar/sidecar_options.h
@@ -38,15 +38,15 @@
   /// Initial stores; the other stores are discovered through them.
   std::vector<runtime::Address> seeds;
 
-  /// Limit on the retries of all sidecars together, as a ratio of the requests for a service. Each sidecar
-  /// retries at most half of that ratio of its own requests, since the sum of many small counts fluctuates.
-  /// Default 0.2, range 0 to 1.
+  /// Limit on the additional attempts, beyond the first of each request, of all sidecars together, as a ratio
+  /// of the requests for a service. Each sidecar uses at most half of that ratio for its own requests, since
+  /// the sum of many small counts fluctuates. Default 0.2, range 0 to 1.
   double retry_ratio = 0.2;
-  /// Number of retries that may accumulate for a service. Default 3, range 0 to 1,000.
+  /// Number of additional attempts that may accumulate for a service. Default 3, range 0 to 1,000.
   double retry_burst = 3;
 
-  /// Number of retries that all sidecars together may add in a window of ten seconds beyond the ratio.
-  /// Default 64, range 0 to 1,000,000.
+  /// Number of additional attempts that all sidecars together may make in a window of ten seconds beyond the
+  /// ratio. Default 64, range 0 to 1,000,000.
   double retry_slack = 64;
 
   /// Maximum number of endpoints that a request is sent to one after another while each of them refuses it.
@@ -71,8 +71,7 @@
   unsigned answer_credit = 0;
 
   /// Share of a request's latency objective that it may wait for a slot of its target. Default 0.15, range 0
-  /// to
-  /// 1. Under overload, responses were late with 0.4, and too few requests were served with 0.08.
+  /// to 1. Under overload, responses were late with 0.4, and too few requests were served with 0.08.
   double queue_share = 0.15;
 
   /// Minimum time that a request may wait for a slot, however short its latency objective. Microseconds,
--- a/src/sidecar/target_state.cpp
+++ b/src/sidecar/target_state.cpp
@@ -2,7 +2,7 @@
 
 namespace cometstand::sidecar {
 
-/// A health check response carries no start time.
+/// Without a start time on either side only the ids are compared, since a health check response carries none.
 bool TargetState::isCurrent(const mesh::Incarnation& incarnation) const {
   const auto& current = beat_.incarnation;
   return incarnation == current ||
