--- a/tests/quarantine/crash_mesh.h
+++ b/tests/quarantine/crash_mesh.h
@@ -30,8 +30,9 @@
   std::uint64_t contents = 20;
 };
 
-/// Simulated stores and sidecars whose targets crash when they run a request with certain contents. Callers
-/// continuously send harmless requests to all sidecars, many of them with equal contents.
+/// Real stores and sidecars on a simulated network, with simulated targets that crash when they run a request
+/// with certain contents. Callers continuously send harmless requests to all sidecars, many of them with
+/// equal contents.
 class CrashMesh {
  public:
   explicit CrashMesh(std::uint64_t seed, MeshShape shape = {});
