--- a/src/sidecar/caller_port.h
+++ b/src/sidecar/caller_port.h
@@ -11,60 +11,61 @@
 
 namespace cometstand::sidecar {
 
-/// Names one request of a caller. Chosen by whoever hands it in, never used twice.
+/// Identifies one request of a caller. Assigned by the component that submits the request, and never reused.
 enum class CallId : std::uint64_t {};
 
 /// A caller's request.
 struct Call {
-  /// Method, target, fields, body and request id are the caller's; the rest is filled in by the sidecar.
+  /// Method, target, header fields, body and request id come from the caller; the sidecar sets the rest.
   wire::ForwardRequestT request;
   std::string host;
-  /// How long the caller will wait, if it said so.
+  /// How long the caller will wait, if it has set a deadline.
   std::optional<Duration> deadline;
-  /// Of the key that the caller sent, if it sent one.
+  /// Digest of the API key that the caller sent, if any.
   std::optional<mesh::ContentDigest> key;
-  /// A large answer may be handed over in parts, before it is whole.
+  /// A large answer may be streamed to the caller before it is complete.
   bool takes_parts = false;
 };
 
 enum class CallOutcome : std::uint8_t {
-  /// The target's own answer.
+  /// The target has answered.
   Answered,
-  /// No route leads there.
+  /// No route matches the request.
   NoRoute,
-  /// Not run and never will be: no configuration is known yet, or nobody can take the request now.
+  /// Not run and never will be: there is no configuration yet, or no endpoint accepts the request now.
   NotRun,
-  /// It may have run, and no whole answer came.
+  /// May have run, but no complete answer was received.
   Failed,
-  /// The time is up; it may have run.
+  /// May have run; the deadline passed before its answer.
   TimedOut,
-  /// Not run and never will be: requests like it have ended several targets. Coming back does not help.
+  /// Not run and never will be: requests like it have crashed several targets. A retry does not help.
   Quarantined,
-  /// Not run and never will be: the route needs a key, and no tenant holds the caller's.
+  /// Not run and never will be: the route requires an API key, and the caller's belongs to no tenant.
   UnknownKey,
-  /// Not run and never will be: the tenant has used up its limit, or what this sidecar has of it.
+  /// Not run and never will be: the tenant has used up its limit, or this sidecar got no token of it.
   OverQuota,
 };
 
 struct CallAnswer {
   CallOutcome outcome = CallOutcome::Failed;
-  /// Of Answered.
+  /// Set if the outcome is Answered.
   wire::ForwardReplyT reply;
-  /// Of NotRun and OverQuota: when to come back.
+  /// Set if the outcome is NotRun or OverQuota: the delay before a retry.
   Duration retry_after = Duration::zero();
 };
 
-/// Hears what became of callers' requests: exactly one answer for each that was not cancelled, by answer(),
-/// or by beginAnswer() and continueAnswer() up to an end.
+/// Receives the answers to callers' requests: exactly one for each request that was not cancelled, either by
+/// answer(), or by beginAnswer() and calls of continueAnswer() until one has an `end` other than Open.
 class CallerPort {
  public:
   virtual ~CallerPort() = default;
   virtual void answer(CallId id, CallAnswer answer) = 0;
 
-  // Of calls that take parts only. SidecarCore::onCallerRead() is to be told of bytes that the caller took.
+  // The functions below are called only for calls with `takes_parts`. The receiver must report the bytes that
+  // the caller has read to SidecarCore::onCallerRead().
   /// @param head the target's answer with the first bytes of its body.
   virtual void beginAnswer(CallId /*id*/, const wire::ForwardReplyT& /*head*/) {}
-  /// @param end Broken: the answer must not look whole to the caller.
+  /// @param end Broken if the answer was aborted; it must not look complete to the caller.
   virtual void continueAnswer(CallId /*id*/, const std::vector<std::uint8_t>& /*bytes*/,
                               wire::BodyEnd /*end*/) {}
 };
--- a/src/sidecar/outbound_calls.cpp
+++ b/src/sidecar/outbound_calls.cpp
@@ -9,22 +9,24 @@
 namespace cometstand::sidecar {
 namespace {
 
-/// With less time left a request is not sent any more.
-constexpr Duration kLeastTimeLeft = std::chrono::milliseconds(10);
-/// An endpoint that refused is avoided for a while: a full one for about the time in which one of its slots
-/// gets free, one whose target is down or leaves for as long as news of that take to come round.
-constexpr Duration kRefusedAvoidance = std::chrono::milliseconds(30);
+/// A request with less time left until its deadline is not sent.
+constexpr Duration kMinTimeLeft = std::chrono::milliseconds(10);
+/// How long an endpoint is avoided after it refused a request because it was full or warming up: about the
+/// time until one of its slots is free.
+constexpr Duration kFullAvoidance = std::chrono::milliseconds(30);
+/// How long an endpoint is avoided after it refused a request because its target is down or draining: about
+/// the time that the changed endpoint state takes to reach all sidecars.
 constexpr Duration kDownAvoidance = std::chrono::milliseconds(300);
-/// Bodies up to this size go with their request; larger ones are announced and sent as the endpoint grants.
-/// On a link of 6 Mbit/s this much takes 5 ms.
-constexpr std::size_t kMostInlineBody = 4 * 1024;
+/// Bodies up to this size are sent in the request message; larger ones are announced and sent as the endpoint
+/// grants. 4 KiB take 5 ms on a link of 6 Mbit/s.
+constexpr std::size_t kMaxInlineBodyBytes = 4 * 1024;
 
 }  // namespace
 
 using runtime::Address;
 
 void OutboundCalls::begin(CallId id, Call call, TimePoint now) {
-  if (table_ == nullptr || stop_ends_) {
+  if (table_ == nullptr || refuses_all_) {
     refuse(id, CallOutcome::NotRun, now);
     return;
   }
@@ -48,11 +50,11 @@
   const bool has_limit = tenant != nullptr && tenant->requests_per_second > 0;
   state.request->objective_ms = route->objective_ms;
   const Duration timeout = std::chrono::milliseconds(route->timeout_ms);
-  state.began = now;
+  state.started_at = now;
   state.takes_parts = call.takes_parts;
-  state.caller_leaves = now + call.deadline.value_or(timeout);
-  state.deadline = std::min(state.caller_leaves, now + timeout);
-  if (endsTooLate(route, state.deadline, now)) {
+  state.caller_deadline = now + call.deadline.value_or(timeout);
+  state.deadline = std::min(state.caller_deadline, now + timeout);
+  if (outlastsStop(route, state.deadline, now)) {
     refuse(id, CallOutcome::NotRun, now);
     return;
   }
@@ -72,12 +74,12 @@
 
 void OutboundCalls::beginStop(TimePoint now) {
   stop_began_ = now;
-  // In the pace of all others an answer of 90 KB took 1.2 s by the median and 6 s at the 95th percentile
-  // behind a full link, as measured by stopping 75 sidecars in turn: longer than a stop.
+  // At the usual grant rate an answer of 90 KB took 1.2 s (median) to 6 s (95th percentile) on a saturated
+  // link when 75 sidecars were stopped in turn, which is longer than a planned stop lasts.
   answers_.expediteAll(now + parts_.options.stopMaximum(), now);
 }
 
-bool OutboundCalls::endsTooLate(const mesh::RoutePointer& route, TimePoint deadline, TimePoint now) const {
+bool OutboundCalls::outlastsStop(const mesh::RoutePointer& route, TimePoint deadline, TimePoint now) const {
   if (!stop_began_) return false;
   const TimePoint end = *stop_began_ + parts_.options.stopMaximum();
   if (deadline <= end) return false;
@@ -85,14 +87,14 @@
   return !takes_all || now + forecast_.timeUntilWhole(route->name, parts_.credit.rate()) > end;
 }
 
-EndpointWant OutboundCalls::wantOf(const CallState& call) const {
+EndpointWant OutboundCalls::requirementsOf(const CallState& call) const {
   EndpointWant want;
   want.service = call.request->service;
   want.bytes = call.request->body.size() + forecast_.answerBytes(call.route->name);
-  want.has_large_body = call.request->body.size() > kMostInlineBody;
+  want.has_large_body = call.request->body.size() > kMaxInlineBodyBytes;
   want.has_large_answer = parts_.options.answer_credit > 0 &&
                           forecast_.answerBytes(call.route->name) > parts_.options.answer_credit;
-  want.patience = patienceShare(call);
+  want.patience = queueTimeLimit(call);
   want.regions = call.route->regions;
   want.may_repeat = call.route->repeatable;
   want.newer_regions = newerRegionsOf(call);
@@ -102,16 +104,16 @@
 }
 
 Endpoint* OutboundCalls::chooseFor(const CallState& call, TimePoint now) {
-  if (call.deadline - now < kLeastTimeLeft) return nullptr;
+  if (call.deadline - now < kMinTimeLeft) return nullptr;
   const auto& service = call.request->service;
-  auto want = wantOf(call);
-  want.versions = parts_.rollouts.filterFor(service, call.tried.empty(), parts_.random, now);
-  auto* endpoint = parts_.endpoints.choose(want, call.tried, parts_.random, now);
+  auto want = requirementsOf(call);
+  want.versions = parts_.rollouts.filterFor(service, call.tried_endpoints.empty(), parts_.random, now);
+  auto* endpoint = parts_.endpoints.choose(want, call.tried_endpoints, parts_.random, now);
   const bool may_fall_back =
       want.versions.pool == VersionFilter::Pool::Canary && parts_.rollouts.isCanary(service);
   if (endpoint != nullptr || !may_fall_back) return endpoint;
   want.versions = parts_.rollouts.filterFor(service, false, parts_.random, now);
-  return parts_.endpoints.choose(want, call.tried, parts_.random, now);
+  return parts_.endpoints.choose(want, call.tried_endpoints, parts_.random, now);
 }
 
 void OutboundCalls::sendNext(CallId id, TimePoint now) {
@@ -131,15 +133,15 @@
 }
 
 void OutboundCalls::send(CallId id, CallState& call, Endpoint& endpoint, TimePoint now) {
-  const std::uint64_t number = next_sending_++;
-  call.at = endpoint.address;
-  call.sent_as = number;
-  call.tried.insert(endpoint.address);
-  sent_.emplace(number, id);
+  const std::uint64_t number = next_attempt_number_++;
+  call.endpoint = endpoint.address;
+  call.attempt_number = number;
+  call.tried_endpoints.insert(endpoint.address);
+  calls_by_attempt_.emplace(number, id);
   EndpointDirectory::noteSent(endpoint, now);
   call.sent_at = now;
   call.body_sent = 0;
-  call.announced = announces(call, endpoint);
+  call.announced = needsAnnouncement(call, endpoint);
   call.expected_bytes = call.request->body.size() + forecast_.answerBytes(call.route->name);
   parts_.endpoints.regionLinks().onSent(endpoint, call.expected_bytes, now);
   auto request = requestFor(call, endpoint, now);
@@ -151,11 +153,12 @@
   }
 }
 
-bool OutboundCalls::announces(const CallState& call, const Endpoint& endpoint) const {
-  return call.request->body.size() > kMostInlineBody && endpoint.address != parts_.options.advertise;
+bool OutboundCalls::needsAnnouncement(const CallState& call, const Endpoint& endpoint) const {
+  return call.request->body.size() > kMaxInlineBodyBytes && endpoint.address != parts_.options.advertise;
 }
 
-/// @return a copy for one sending, as the last one may still be on its way; without a body that is announced.
+/// @return a copy of the request for one attempt, because the message of the previous attempt may still be in
+/// flight. An announced body is left out.
 wire::ForwardRequestT OutboundCalls::requestFor(CallState& call, const Endpoint& endpoint,
                                                 TimePoint now) const {
   auto body = std::move(call.request->body);
@@ -167,30 +170,30 @@
   }
   call.request->body = std::move(body);
   request.deadline_ms = static_cast<std::uint32_t>(ceilMilliseconds(call.deadline - now));
-  request.patience_ms = static_cast<std::uint32_t>(ceilMilliseconds(patienceOf(call, now)));
-  request.is_retry = call.sendings > 0;
+  request.patience_ms = static_cast<std::uint32_t>(ceilMilliseconds(remainingQueueTime(call, now)));
+  request.is_retry = call.attempts > 0;
   request.answer_credit = parts_.options.answer_credit;
   request.answer_bytes = static_cast<std::uint32_t>(forecast_.answerBytes(call.route->name));
   request.route = routeNameFor(call, endpoint);
   return request;
 }
 
-bool OutboundCalls::isWhollySent(const CallState& call) {
+bool OutboundCalls::isFullySent(const CallState& call) {
   return !call.announced || call.body_sent == call.request->body.size();
 }
 
 void OutboundCalls::onGrant(const Address& from, std::uint64_t request_id, std::size_t bytes, TimePoint now) {
-  const auto sent = sent_.find(request_id);
-  if (sent == sent_.end()) return;
+  const auto sent = calls_by_attempt_.find(request_id);
+  if (sent == calls_by_attempt_.end()) return;
   auto& call = calls_.at(sent->second);
   const auto link = parts_.peers.linkTo(from);
-  if (call.at != from || !call.announced || !link) return;
+  if (call.endpoint != from || !call.announced || !link) return;
   const auto& body = call.request->body;
   const std::size_t length = std::min(bytes, body.size() - call.body_sent);
   if (length == 0) return;
   const auto* endpoint = parts_.endpoints.find(from);
-  if (endpoint != nullptr && !parts_.endpoints.isAllowedRegion(*endpoint, wantOf(call))) {
-    withdrawBody(sent->second, call, now);
+  if (endpoint != nullptr && !parts_.endpoints.isAllowedRegion(*endpoint, requirementsOf(call))) {
+    abortUpload(sent->second, call, now);
     return;
   }
   wire::BodyPartT part;
@@ -200,12 +203,12 @@
   parts_.actions.send(*link, std::move(part), request_id);
 }
 
-/// What one endpoint after another may take together, at least a little for each.
-Duration OutboundCalls::patienceOf(const CallState& call, TimePoint now) const {
-  return std::max(patienceShare(call) - (now - call.began), parts_.options.least_patience);
+/// All attempts share one queue time; each gets what is left of it, but at least `least_patience`.
+Duration OutboundCalls::remainingQueueTime(const CallState& call, TimePoint now) const {
+  return std::max(queueTimeLimit(call) - (now - call.started_at), parts_.options.least_patience);
 }
 
-Duration OutboundCalls::patienceShare(const CallState& call) const {
+Duration OutboundCalls::queueTimeLimit(const CallState& call) const {
   const Duration objective = std::chrono::milliseconds(call.route->objective_ms);
   return std::chrono::duration_cast<Duration>(objective * parts_.options.queue_share);
 }
@@ -214,39 +217,39 @@
                             TimePoint now) {
   auto* endpoint = parts_.endpoints.find(from);
   if (endpoint != nullptr) parts_.endpoints.onReply(*endpoint, reply, now);
-  const auto sent = sent_.find(request_id);
-  if (sent == sent_.end()) return;
+  const auto sent = calls_by_attempt_.find(request_id);
+  if (sent == calls_by_attempt_.end()) return;
   const CallId id = sent->second;
   auto& call = calls_.at(id);
-  if (call.at != from) return;
+  if (call.endpoint != from) return;
   if (reply.outcome == wire::ForwardOutcome::Answered && reply.body_follows) {
     if (answers_.contains(request_id)) return;
     forecast_.noteBeginning(call.route->name, now - call.sent_at);
-    answers_.begin(request_id, reply, call.request->priority, wayTo(endpoint, now), now);
+    answers_.begin(request_id, reply, call.request->priority, crossRegionRoundTrip(endpoint, now), now);
     if (endpoint != nullptr && !endpoint->live)
       answers_.expedite(request_id, now + parts_.options.stopMaximum(), now);
     return;
   }
   if (answers_.contains(request_id)) {
-    // No sound endpoint answers twice.
-    onAnswerBroken(id, call, SendingFailure::Unsound, now);
+    // A second answer to the same attempt violates the protocol.
+    onAnswerAborted(id, call, AttemptFailure::ProtocolViolation, now);
     return;
   }
   if (reply.outcome == wire::ForwardOutcome::Answered)
     forecast_.noteBeginning(call.route->name, now - call.sent_at);
-  conclude(id, reply, now);
+  finishAttempt(id, reply, now);
 }
 
-void OutboundCalls::conclude(CallId id, const wire::ForwardReplyT& reply, TimePoint now) {
+void OutboundCalls::finishAttempt(CallId id, const wire::ForwardReplyT& reply, TimePoint now) {
   auto& call = calls_.at(id);
-  auto* endpoint = parts_.endpoints.find(*call.at);
-  sent_.erase(call.sent_as);
-  call.at.reset();
+  auto* endpoint = parts_.endpoints.find(*call.endpoint);
+  calls_by_attempt_.erase(call.attempt_number);
+  call.endpoint.reset();
   if (endpoint != nullptr && endpoint->outstanding > 0) --endpoint->outstanding;
   if (endpoint != nullptr) noteTransfer(call, *endpoint, reply, now);
   switch (reply.outcome) {
     case wire::ForwardOutcome::Answered:
-      forecast_.noteSize(call.route->name, call.passed_bytes + reply.body.size());
+      forecast_.noteSize(call.route->name, call.streamed_bytes + reply.body.size());
       forecast_.noteWhole(call.route->name, now - call.sent_at);
       parts_.endpoints.noteAnswered(call.request->service, now - call.sent_at);
       finish(id, {CallOutcome::Answered, reply, Duration::zero()}, now);
@@ -255,7 +258,7 @@
       onRefused(id, call, reply, now);
       return;
     case wire::ForwardOutcome::Unknown:
-      call.failure = SendingFailure::EndpointSaidSo;
+      call.failure = AttemptFailure::ReportedByEndpoint;
       onFailed(id, call, now);
       return;
   }
@@ -271,19 +274,19 @@
     finishQuarantined(id, now);
     return;
   }
-  const Duration wish = std::chrono::milliseconds(reply.retry_after_ms);
-  call.retry_after = call.retry_after == Duration::zero() ? wish : std::min(call.retry_after, wish);
+  const Duration suggested = std::chrono::milliseconds(reply.retry_after_ms);
+  call.retry_after = call.retry_after == Duration::zero() ? suggested : std::min(call.retry_after, suggested);
   ++call.refusals;
-  for (const auto& address : call.tried) {
+  for (const auto& address : call.tried_endpoints) {
     auto* endpoint = parts_.endpoints.find(address);
     if (endpoint == nullptr || call.refusals > 1) continue;
     const bool is_full = reply.reason == wire::NotRunReason::Full || reply.reason == wire::NotRunReason::Cold;
-    endpoint->avoid_until = now + (is_full ? kRefusedAvoidance : kDownAvoidance);
+    endpoint->avoid_until = now + (is_full ? kFullAvoidance : kDownAvoidance);
   }
   const bool reached_target = reply.reached_target;
-  if (reached_target) ++call.sendings;
+  if (reached_target) ++call.attempts;
   const bool is_allowed = call.refusals < parts_.options.max_refusals &&
-                          call.sendings < call.route->max_attempts &&
+                          call.attempts < call.route->max_attempts &&
                           (!reached_target || budget_.take(call.request->service, isUrgent(call), now));
   if (is_allowed) {
     sendNext(id, now);
@@ -296,9 +299,9 @@
 
 void OutboundCalls::onFailed(CallId id, CallState& call, TimePoint now) {
   call.may_have_run = true;
-  ++call.sendings;
-  const bool may_repeat = !call.is_passed_on && call.route->repeatable &&
-                          call.sendings < call.route->max_attempts && call.deadline - now >= kLeastTimeLeft &&
+  ++call.attempts;
+  const bool may_repeat = !call.is_streamed && call.route->repeatable &&
+                          call.attempts < call.route->max_attempts && call.deadline - now >= kMinTimeLeft &&
                           !parts_.quarantine.isSuspect(*call.request) &&
                           budget_.take(call.request->service, isUrgent(call), now);
   if (!may_repeat) {
--- a/src/sidecar/outbound_calls.h
+++ b/src/sidecar/outbound_calls.h
@@ -23,11 +23,12 @@
 
 namespace cometstand::sidecar {
 
-/// The requests of this sidecar's callers, from arrival to their one answer: route, endpoint, attempts, time.
+/// Forwards the requests of this sidecar's callers: selects route and endpoint, retries failed attempts,
+/// enforces the deadline and gives each request exactly one answer.
 ///
 /// Invariants:
-/// - A request that may not be repeated is never sent again once it may have run.
-/// - NotRun is answered only if no sending may have run.
+/// - A request that is not repeatable is never sent again once an attempt may have run.
+/// - NotRun is answered only if no attempt may have run.
 class OutboundCalls {
  public:
   struct Parts {
@@ -47,156 +48,161 @@
   explicit OutboundCalls(const Parts& parts)
       : parts_(parts),
         budget_(parts.options.retry_ratio, parts.options.retry_burst, parts.options.retry_slack),
-        answers_(parts.credit, [this](std::uint64_t sending, const wire::BodyGrantT& grant) {
-          grantAnswer(sending, grant);
+        answers_(parts.credit, [this](std::uint64_t attempt_number, const wire::BodyGrantT& grant) {
+          sendAnswerGrant(attempt_number, grant);
         }) {}
 
   void setRoutes(mesh::RouteTablePointer table) { table_ = std::move(table); }
   const mesh::RouteTablePointer& routes() const { return table_; }
 
   void begin(CallId id, Call call, TimePoint now);
-  /// A planned stop began: what could not be answered before its end is refused.
+  /// Starts a planned stop: refuses new requests that could not be answered before it ends.
   void beginStop(TimePoint now);
-  /// A planned stop ends: whatever still comes is refused.
-  void endStop() { stop_ends_ = true; }
-  /// The caller took so many bytes of an answer that is passed on to it in parts.
+  /// Ends a planned stop: refuses all requests that arrive from now on.
+  void endStop() { refuses_all_ = true; }
+  /// Called when the caller has read `bytes` bytes of an answer that is streamed to it.
   void onRead(CallId id, std::size_t bytes, TimePoint now);
-  /// The caller is gone.
+  /// Ends a request whose caller has disconnected.
   void cancel(CallId id, TimePoint now);
-  /// @param request_id as it was sent; `from` the endpoint's address.
+  /// @param from the endpoint's address.
+  /// @param request_id the number under which the attempt was sent.
   void onReply(const runtime::Address& from, std::uint64_t request_id, const wire::ForwardReplyT& reply,
                TimePoint now);
-  /// So many sidecars are known.
+  /// @param sidecars the number of known sidecars, which share the retry budget.
   void setSidecars(std::size_t sidecars) { budget_.setSidecars(sidecars); }
-  /// The endpoint is ready to receive so many more bytes of an announced body.
+  /// Handles an endpoint's grant to send `bytes` more bytes of an announced request body.
   void onGrant(const runtime::Address& from, std::uint64_t request_id, std::size_t bytes, TimePoint now);
-  /// The next bytes of an answer whose body follows.
+  /// Handles the next part of an answer whose body follows its head.
   void onAnswerPart(const runtime::Address& from, std::uint64_t request_id, const wire::BodyPartT& part,
                     TimePoint now);
-  /// The endpoint leaves: what it still has to send is granted as fast as it can come, as its sidecar may
-  /// stop.
+  /// Grants the rest of all answers from a draining endpoint at full rate, because its sidecar may stop soon.
   void onEndpointLeaves(const runtime::Address& address, TimePoint now);
-  /// The link to the endpoint ended: what was sent over it may have run.
+  /// Handles the loss of the link to an endpoint; requests that were sent over it may have run.
   void onPeerLost(const runtime::Address& address, TimePoint now);
-  /// Tokens may have come for requests that wait for one.
+  /// Retries to get tokens for the requests that wait for one, after the leader has answered.
   void onQuota(TimePoint now);
   void onTimer(TimePoint now);
   TimePoint nextTimer() const;
   std::size_t inFlight() const { return calls_.size(); }
-  /// @return large answers that have begun to come.
+  /// @return the number of large answers that are being received.
   std::size_t answersArriving() const { return answers_.size(); }
   const CallMetrics& metrics() const { return metrics_; }
 
  private:
-  /// Why the newest sending of a request brought no whole answer.
-  enum class SendingFailure : std::uint8_t {
+  /// Why the latest attempt of a request brought no complete answer.
+  enum class AttemptFailure : std::uint8_t {
     None,
-    /// The endpoint said so, or that the rest of its answer will not come.
-    EndpointSaidSo,
-    /// The link to the endpoint ended.
+    /// The endpoint reported a failure, or aborted its answer.
+    ReportedByEndpoint,
+    /// The link to the endpoint was lost.
     LinkLost,
     /// The endpoint answered twice, or sent more than it was granted.
-    Unsound,
-    OutOfTime,
+    ProtocolViolation,
+    DeadlineExceeded,
   };
-  static const char* nameOf(SendingFailure failure);
+  static const char* nameOf(AttemptFailure failure);
 
   struct CallState {
     std::shared_ptr<wire::ForwardRequestT> request;
     mesh::RoutePointer route;
-    /// Of the configuration that the route is from.
+    /// Revision of the configuration that the route comes from.
     std::uint64_t revision = 0;
-    TimePoint began;
+    TimePoint started_at;
     TimePoint deadline;
-    /// When the caller gives up; later than the deadline if the route allows less time.
-    TimePoint caller_leaves;
-    /// Endpoints that were asked.
-    std::set<runtime::Address> tried;
-    /// Sendings that reached a target, or may have.
-    unsigned sendings = 0;
+    /// When the caller stops waiting; later than `deadline` if the route's timeout is shorter.
+    TimePoint caller_deadline;
+    /// Endpoints that the request was sent to.
+    std::set<runtime::Address> tried_endpoints;
+    /// Attempts that reached a target, or may have.
+    unsigned attempts = 0;
     unsigned refusals = 0;
     bool may_have_run = false;
-    /// Where the request is now, and under which number it was sent.
-    std::optional<runtime::Address> at;
-    std::uint64_t sent_as = 0;
+    /// Endpoint of the attempt in flight, if any.
+    std::optional<runtime::Address> endpoint;
+    /// Number of the latest attempt, unique within this sidecar.
+    std::uint64_t attempt_number = 0;
     TimePoint sent_at;
-    /// Bytes that the sending was expected to move.
+    /// Estimated size of the attempt's request and answer bodies.
     std::size_t expected_bytes = 0;
-    /// The body was announced to the endpoint, which got so much of it.
+    /// The body was announced to the endpoint and is sent as the endpoint grants it.
     bool announced = false;
+    /// Bytes of an announced body that were sent in this attempt.
     std::size_t body_sent = 0;
     Duration retry_after = Duration::zero();
-    /// Of the tenant's limit, once it is taken; none if it has no limit.
+    /// The token taken from the tenant's quota; none until it is taken, or if the tenant has no limit.
     std::optional<QuotaToken> token;
-    /// Until when the request waits for it.
+    /// Until when the request waits for a token; none if it does not wait.
     std::optional<TimePoint> quota_deadline;
     bool takes_parts = false;
-    /// Some of the answer has gone to the caller: no other endpoint may be asked.
-    bool is_passed_on = false;
-    std::size_t passed_bytes = 0;
-    SendingFailure failure = SendingFailure::None;
+    /// A part of the answer was streamed to the caller, so the request must not be retried.
+    bool is_streamed = false;
+    std::size_t streamed_bytes = 0;
+    AttemptFailure failure = AttemptFailure::None;
   };
 
-  /// @return true if a planned stop would end before the request has its answer and its time is up.
-  bool endsTooLate(const mesh::RoutePointer& route, TimePoint deadline, TimePoint now) const;
+  /// @return true if a planned stop is likely to end before the request's answer and before its deadline.
+  bool outlastsStop(const mesh::RoutePointer& route, TimePoint deadline, TimePoint now) const;
   void refuse(CallId id, CallOutcome outcome, TimePoint now);
-  /// @return the tenant on whose behalf the call comes; nullptr if it is nobody's.
+  /// @return the tenant that holds the call's key; nullptr if there is none.
   mesh::TenantPointer tenantOf(const Call& call) const;
   void refuseKey(CallId id, const Call& call, const wire::MeshRouteT& route, TimePoint now);
-  /// Sends the request once its tenant's limit allows it.
+  /// Sends the request once it has a token of its tenant's quota.
   void sendWithinQuota(CallId id, TimePoint now);
-  void carryOut(CallId id, const TenantQuota::Decision& decision, TimePoint now);
-  /// The request waits for a token no longer.
-  void endQuotaWait(CallId id, CallState& call);
-  void giveUpQuotaWaits(TimePoint now);
-  void settleToken(const CallState& call, bool ran, TimePoint now);
-  /// @return when to come back to this sidecar while it stops.
-  Duration afterStop(TimePoint now) const;
+  void applyQuotaDecision(CallId id, const TenantQuota::Decision& decision, TimePoint now);
+  /// Removes the request from those that wait for a token.
+  void removeQuotaWait(CallId id, CallState& call);
+  void expireQuotaWaits(TimePoint now);
+  void releaseToken(const CallState& call, bool ran, TimePoint now);
+  /// @return the retry delay for callers that are refused during a planned stop.
+  Duration retryAfterStop(TimePoint now) const;
   void sendNext(CallId id, TimePoint now);
   void send(CallId id, CallState& call, Endpoint& endpoint, TimePoint now);
-  bool announces(const CallState& call, const Endpoint& endpoint) const;
+  bool needsAnnouncement(const CallState& call, const Endpoint& endpoint) const;
   wire::ForwardRequestT requestFor(CallState& call, const Endpoint& endpoint, TimePoint now) const;
-  /// @return true if the endpoint got all of the request, so that it may run.
-  static bool isWhollySent(const CallState& call);
-  /// The endpoint has said its last word on the sending.
-  void conclude(CallId id, const wire::ForwardReplyT& reply, TimePoint now);
-  void passOn(CallId id, CallState& call);
-  void onAnswerBroken(CallId id, CallState& call, SendingFailure failure, TimePoint now);
-  void grantAnswer(std::uint64_t sending, const wire::BodyGrantT& grant);
+  /// @return true if the whole request was sent to the endpoint, so that it may run.
+  static bool isFullySent(const CallState& call);
+  /// Ends the attempt in flight with the endpoint's final reply.
+  void finishAttempt(CallId id, const wire::ForwardReplyT& reply, TimePoint now);
+  void streamAnswer(CallId id, CallState& call);
+  void onAnswerAborted(CallId id, CallState& call, AttemptFailure failure, TimePoint now);
+  void sendAnswerGrant(std::uint64_t attempt_number, const wire::BodyGrantT& grant);
   void onRefused(CallId id, CallState& call, const wire::ForwardReplyT& reply, TimePoint now);
   void onFailed(CallId id, CallState& call, TimePoint now);
-  void recall(CallState& call, TimePoint now);
+  void cancelAttempt(CallState& call, TimePoint now);
   void logEnd(const CallState& call, const CallAnswer& answer, TimePoint now) const;
-  static std::string describeTried(const CallState& call);
+  static std::string formatTriedEndpoints(const CallState& call);
   void finish(CallId id, CallAnswer answer, TimePoint now);
   void finishNotRun(CallId id, TimePoint now);
-  /// The request ends targets, so that no other endpoint is asked.
+  /// Ends a quarantined request without another attempt, because requests like it have crashed targets.
   void finishQuarantined(CallId id, TimePoint now);
-  EndpointWant wantOf(const CallState& call) const;
-  /// The only regions that may serve the request by the newest configuration, if that is newer than the
-  /// request; empty for all.
+  EndpointWant requirementsOf(const CallState& call) const;
+  /// @return the only regions that may serve the request by the latest configuration, if that is newer than
+  /// the one the request started with; empty if all regions may.
   std::vector<std::string> newerRegionsOf(const CallState& call) const;
-  /// @return the name of the route if the endpoint's node has to know it, else an empty one.
+  /// @return the route's name if the endpoint's sidecar has to check the route, else an empty string.
   std::string routeNameFor(const CallState& call, const Endpoint& endpoint) const;
-  /// @return time to the endpoint and back if it is in another region, else zero.
-  Duration wayTo(const Endpoint* endpoint, TimePoint now) const;
-  /// Tells the links between regions what came of a sending.
+  /// @return the round-trip time to the endpoint if it is in another region, else zero.
+  Duration crossRegionRoundTrip(const Endpoint* endpoint, TimePoint now) const;
+  /// Reports the size and duration of an ended attempt to the accounting of region links.
   void noteTransfer(const CallState& call, const Endpoint& endpoint, const wire::ForwardReplyT& reply,
                     TimePoint now);
-  /// The endpoint must not get the rest of the body: the request goes elsewhere, or has not run.
-  void withdrawBody(CallId id, CallState& call, TimePoint now);
-  /// @return the endpoint that gets the next sending; nullptr if there is none.
+  /// Stops sending a body to an endpoint whose region is no longer allowed; the request is sent to
+  /// another endpoint or answered as not run.
+  void abortUpload(CallId id, CallState& call, TimePoint now);
+  /// @return the endpoint for the next attempt; nullptr if there is none.
   Endpoint* chooseFor(const CallState& call, TimePoint now);
-  Duration patienceOf(const CallState& call, TimePoint now) const;
-  Duration patienceShare(const CallState& call) const;
-  static wire::ForwardReplyT lostBeforeWhole();
-  /// @return true unless more urgent requests come for the same service.
+  /// @return how long the next endpoint may queue the request.
+  Duration remainingQueueTime(const CallState& call, TimePoint now) const;
+  /// @return how long all endpoints together may queue the request.
+  Duration queueTimeLimit(const CallState& call) const;
+  static wire::ForwardReplyT incompleteUploadReply();
+  /// @return false if there have been requests of a more urgent priority for the same service.
   bool isUrgent(const CallState& call) const;
-  Duration comeBackAfter(const CallState& call, TimePoint now);
+  Duration drawRetryAfter(const CallState& call, TimePoint now);
 
   Parts parts_;
   RetryBudget budget_;
-  /// The most urgent priority of each service's requests.
+  /// The most urgent priority (the lowest number) seen among each service's requests.
   std::map<std::string, unsigned> most_urgent_;
   RefusalShare refusals_;
   AnswerForecast forecast_;
@@ -204,13 +210,14 @@
   CallMetrics metrics_;
   mesh::RouteTablePointer table_;
   std::map<CallId, CallState> calls_;
-  std::map<std::uint64_t, CallId> sent_;
+  /// Requests by the number of their attempt in flight.
+  std::map<std::uint64_t, CallId> calls_by_attempt_;
   std::set<std::pair<TimePoint, CallId>> deadlines_;
-  /// Requests that wait for a token of their tenant, by when they are given up.
+  /// Requests that wait for a token of their tenant, by the time at which the wait expires.
   std::set<std::pair<TimePoint, CallId>> quota_waits_;
-  std::uint64_t next_sending_ = 1;
+  std::uint64_t next_attempt_number_ = 1;
   std::optional<TimePoint> stop_began_;
-  bool stop_ends_ = false;
+  bool refuses_all_ = false;
 };
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/outbound_ends.cpp
+++ b/src/sidecar/outbound_ends.cpp
@@ -7,34 +7,34 @@
 #include "sidecar/events.h"
 #include "sidecar/outbound_calls.h"
 
-/// How callers' requests end: answers, refusals, lost endpoints, deadlines, callers who leave.
+/// Completion of callers' requests: answers, refusals, lost endpoints, deadlines and disconnected callers.
 namespace cometstand::sidecar {
 namespace {
 
-/// When to come back if nothing better is known, and the least wait that is named.
+/// Retry delay for callers if no endpoint has given one, and the shortest delay that this sidecar gives.
 constexpr Duration kDefaultRetryAfter = std::chrono::milliseconds(80);
-/// From the usual end of a planned stop until the process that follows is up.
-constexpr Duration kStartTime = std::chrono::seconds(1);
-/// Callers wait for as much of the time that they have left, but no longer, before they come back.
-constexpr double kHonouredShare = 1.0 / 3;
-/// An endpoint whose link ended while it had requests is avoided for a while.
+/// Time from the usual end of a planned stop until the successor process is up.
+constexpr Duration kRestartTime = std::chrono::seconds(1);
+/// Largest retry delay as a share of the caller's remaining time; callers do not wait longer than that.
+constexpr double kMaxRetryAfterShare = 1.0 / 3;
+/// How long an endpoint is avoided after its link was lost.
 constexpr Duration kLostPeerAvoidance = std::chrono::milliseconds(1'500);
 
 }  // namespace
 
 using runtime::Address;
 
-const char* OutboundCalls::nameOf(SendingFailure failure) {
+const char* OutboundCalls::nameOf(AttemptFailure failure) {
   switch (failure) {
-    case SendingFailure::None:
+    case AttemptFailure::None:
       return "none";
-    case SendingFailure::EndpointSaidSo:
+    case AttemptFailure::ReportedByEndpoint:
       return "endpoint_said_so";
-    case SendingFailure::LinkLost:
+    case AttemptFailure::LinkLost:
       return "link_lost";
-    case SendingFailure::Unsound:
+    case AttemptFailure::ProtocolViolation:
       return "unsound";
-    case SendingFailure::OutOfTime:
+    case AttemptFailure::DeadlineExceeded:
       return "out_of_time";
   }
   return "unknown";
@@ -43,29 +43,31 @@
 void OutboundCalls::refuse(CallId id, CallOutcome outcome, TimePoint now) {
   CallAnswer answer;
   answer.outcome = outcome;
-  if (outcome == CallOutcome::NotRun) answer.retry_after = stop_began_ ? afterStop(now) : kDefaultRetryAfter;
+  if (outcome == CallOutcome::NotRun)
+    answer.retry_after = stop_began_ ? retryAfterStop(now) : kDefaultRetryAfter;
   metrics_.noteEnd(outcome, Duration::zero());
   parts_.callers.answer(id, std::move(answer));
 }
 
-/// Callers on this machine have no other sidecar, and most stops last little longer than their minimum.
-Duration OutboundCalls::afterStop(TimePoint now) const {
+/// Callers on this host have no other sidecar, so they should retry once the successor is up. Most planned
+/// stops last little longer than their minimum.
+Duration OutboundCalls::retryAfterStop(TimePoint now) const {
   const TimePoint usual_end = *stop_began_ + parts_.options.stop_minimum;
-  return std::max(Duration::zero(), usual_end - now) + kStartTime;
+  return std::max(Duration::zero(), usual_end - now) + kRestartTime;
 }
 
-void OutboundCalls::recall(CallState& call, TimePoint now) {
-  if (!call.at) return;
-  answers_.drop(call.sent_as, now);
-  sent_.erase(call.sent_as);
-  auto* endpoint = parts_.endpoints.find(*call.at);
+void OutboundCalls::cancelAttempt(CallState& call, TimePoint now) {
+  if (!call.endpoint) return;
+  answers_.drop(call.attempt_number, now);
+  calls_by_attempt_.erase(call.attempt_number);
+  auto* endpoint = parts_.endpoints.find(*call.endpoint);
   if (endpoint != nullptr && endpoint->outstanding > 0) --endpoint->outstanding;
-  if (*call.at == parts_.options.advertise) {
-    parts_.gate.cancel({runtime::LinkId{}, call.sent_as}, now);
-  } else if (const auto link = parts_.peers.linkTo(*call.at)) {
-    parts_.actions.send(*link, wire::ForwardCancelT(), call.sent_as);
+  if (*call.endpoint == parts_.options.advertise) {
+    parts_.gate.cancel({runtime::LinkId{}, call.attempt_number}, now);
+  } else if (const auto link = parts_.peers.linkTo(*call.endpoint)) {
+    parts_.actions.send(*link, wire::ForwardCancelT(), call.attempt_number);
   }
-  call.at.reset();
+  call.endpoint.reset();
 }
 
 void OutboundCalls::cancel(CallId id, TimePoint now) {
@@ -73,15 +75,15 @@
   if (found == calls_.end()) return;
   ++metrics_.callers_gone;
   if (found->second.quota_deadline) parts_.quota.stopWaiting(found->second.request->tenant);
-  endQuotaWait(id, found->second);
-  // What was sent may have run.
-  settleToken(found->second, found->second.at || found->second.may_have_run, now);
-  recall(found->second, now);
+  removeQuotaWait(id, found->second);
+  // An attempt in flight may have run.
+  releaseToken(found->second, found->second.endpoint || found->second.may_have_run, now);
+  cancelAttempt(found->second, now);
   deadlines_.erase({found->second.deadline, id});
   calls_.erase(found);
 }
 
-/// The one line for a caller's request: what became of it, and by what.
+/// Logs the single event that records a request's outcome and its cause.
 void OutboundCalls::logEnd(const CallState& call, const CallAnswer& answer, TimePoint now) const {
   if (answer.outcome == CallOutcome::Quarantined) {
     const auto digests = mesh::digestsOf(*call.request);
@@ -91,7 +93,7 @@
                                 {"caller", call.request->caller_service},
                                 {"content", mesh::formatDigest(digests.exact)},
                                 {"path", digests.path ? mesh::formatDigest(*digests.path) : ""},
-                                {"took_ms", ceilMilliseconds(now - call.began)}});
+                                {"took_ms", ceilMilliseconds(now - call.started_at)}});
     return;
   }
   const bool is_answered = answer.outcome == CallOutcome::Answered;
@@ -102,22 +104,23 @@
             {"route", call.route->name},
             {"service", call.request->service},
             {"tenant", call.request->tenant},
-            {"endpoints", describeTried(call)},
+            {"endpoints", formatTriedEndpoints(call)},
             {"revision", table_->revision()},
             {"priority", call.request->priority},
             {"objective_ms", call.request->objective_ms},
-            {"sendings", call.sendings},
+            {"sendings", call.attempts},
             {"failure", nameOf(call.failure)},
-            {"passed_bytes", call.passed_bytes},
+            {"passed_bytes", call.streamed_bytes},
             {"refusals", call.refusals},
-            {"took_ms", ceilMilliseconds(now - call.began)},
+            {"took_ms", ceilMilliseconds(now - call.started_at)},
             {"left_ms", ceilMilliseconds(call.deadline - now)},
             {"retry_after_ms", ceilMilliseconds(answer.retry_after)}});
 }
 
-std::string OutboundCalls::describeTried(const CallState& call) {
+std::string OutboundCalls::formatTriedEndpoints(const CallState& call) {
   std::string text;
-  for (const auto& address : call.tried) text += (text.empty() ? "" : " ") + settings::formatAddress(address);
+  for (const auto& address : call.tried_endpoints)
+    text += (text.empty() ? "" : " ") + settings::formatAddress(address);
   return text;
 }
 
@@ -125,16 +128,16 @@
   const auto found = calls_.find(id);
   const auto& call = found->second;
   logEnd(call, answer, now);
-  metrics_.noteEnd(answer.outcome, now - call.began);
+  metrics_.noteEnd(answer.outcome, now - call.started_at);
   const bool has_run = answer.outcome != CallOutcome::NotRun && answer.outcome != CallOutcome::Quarantined;
-  settleToken(call, has_run, now);
-  // A limit says nothing of the service.
+  releaseToken(call, has_run, now);
+  // A request over its tenant's quota is no sign of an overloaded service.
   if (answer.outcome != CallOutcome::OverQuota)
     refusals_.note(call.request->service, answer.outcome == CallOutcome::NotRun);
   deadlines_.erase({call.deadline, id});
-  const bool is_passed_on = call.is_passed_on;
+  const bool is_streamed = call.is_streamed;
   calls_.erase(found);
-  if (!is_passed_on) {
+  if (!is_streamed) {
     parts_.callers.answer(id, std::move(answer));
   } else if (answer.outcome == CallOutcome::Answered) {
     parts_.callers.continueAnswer(id, answer.reply.body, wire::BodyEnd::Whole);
@@ -143,22 +146,24 @@
   }
 }
 
-/// @return a time drawn from a span that grows with the share of requests that are refused: callers who are
-/// refused together do not come back together, and the more there are, the longer each is put off.
-Duration OutboundCalls::comeBackAfter(const CallState& call, TimePoint now) {
-  const auto honoured = std::chrono::duration_cast<Duration>((call.caller_leaves - now) * kHonouredShare);
-  // While all targets are cold, who comes back takes the room of others.
-  const Duration cold = std::min(parts_.endpoints.coldTime(wantOf(call), now), honoured);
-  const Duration wish = call.retry_after == Duration::zero() ? kDefaultRetryAfter : call.retry_after;
-  const Duration least = std::max(wish, cold);
-  const auto spread = std::chrono::duration_cast<Duration>(honoured * refusals_.of(call.request->service));
-  return parts_.random.uniform(least, least + std::max(least, spread));
+/// @return a random retry delay from a range that grows with the share of refused requests: callers that are
+/// refused together do not retry together, and wait longer the more of them are refused.
+Duration OutboundCalls::drawRetryAfter(const CallState& call, TimePoint now) {
+  const auto max_retry_after =
+      std::chrono::duration_cast<Duration>((call.caller_deadline - now) * kMaxRetryAfterShare);
+  // While all targets warm up, a retry would take the capacity of other requests.
+  const Duration cold = std::min(parts_.endpoints.coldTime(requirementsOf(call), now), max_retry_after);
+  const Duration suggested = call.retry_after == Duration::zero() ? kDefaultRetryAfter : call.retry_after;
+  const Duration min_retry_after = std::max(suggested, cold);
+  const auto spread =
+      std::chrono::duration_cast<Duration>(max_retry_after * refusals_.of(call.request->service));
+  return parts_.random.uniform(min_retry_after, min_retry_after + std::max(min_retry_after, spread));
 }
 
 void OutboundCalls::finishNotRun(CallId id, TimePoint now) {
   CallAnswer answer;
   answer.outcome = CallOutcome::NotRun;
-  answer.retry_after = comeBackAfter(calls_.at(id), now);
+  answer.retry_after = drawRetryAfter(calls_.at(id), now);
   finish(id, std::move(answer), now);
 }
 
@@ -168,8 +173,9 @@
   finish(id, std::move(answer), now);
 }
 
-/// @return what is known of a request whose endpoint was lost before it had the whole body.
-wire::ForwardReplyT OutboundCalls::lostBeforeWhole() {
+/// @return the reply that stands in for an endpoint's own if it did not get the whole body: the request has
+/// not run.
+wire::ForwardReplyT OutboundCalls::incompleteUploadReply() {
   wire::ForwardReplyT reply;
   reply.outcome = wire::ForwardOutcome::NotRun;
   reply.reason = wire::NotRunReason::TargetDown;
@@ -180,7 +186,7 @@
 void OutboundCalls::onPeerLost(const Address& address, TimePoint now) {
   std::vector<CallId> lost;
   for (const auto& [id, call] : calls_) {
-    if (call.at == address) lost.push_back(id);
+    if (call.endpoint == address) lost.push_back(id);
   }
   auto* endpoint = parts_.endpoints.find(address);
   if (endpoint != nullptr) {
@@ -190,14 +196,14 @@
   for (const CallId id : lost) {
     const auto found = calls_.find(id);
     if (found == calls_.end()) continue;
-    answers_.drop(found->second.sent_as, now);
-    sent_.erase(found->second.sent_as);
-    found->second.at.reset();
-    found->second.failure = SendingFailure::LinkLost;
-    if (isWhollySent(found->second) || found->second.is_passed_on) {
+    answers_.drop(found->second.attempt_number, now);
+    calls_by_attempt_.erase(found->second.attempt_number);
+    found->second.endpoint.reset();
+    found->second.failure = AttemptFailure::LinkLost;
+    if (isFullySent(found->second) || found->second.is_streamed) {
       onFailed(id, found->second, now);
     } else {
-      onRefused(id, found->second, lostBeforeWhole(), now);
+      onRefused(id, found->second, incompleteUploadReply(), now);
     }
   }
 }
@@ -210,13 +216,13 @@
 }
 
 void OutboundCalls::onTimer(TimePoint now) {
-  giveUpQuotaWaits(now);
+  expireQuotaWaits(now);
   while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
     const CallId id = deadlines_.begin()->second;
     auto& call = calls_.at(id);
-    call.failure = SendingFailure::OutOfTime;
-    const bool may_have_run = call.may_have_run || (call.at.has_value() && isWhollySent(call));
-    recall(call, now);
+    call.failure = AttemptFailure::DeadlineExceeded;
+    const bool may_have_run = call.may_have_run || (call.endpoint.has_value() && isFullySent(call));
+    cancelAttempt(call, now);
     if (may_have_run) {
       finish(id, {CallOutcome::TimedOut, {}, Duration::zero()}, now);
     } else {
--- a/src/sidecar/outbound_quota.cpp
+++ b/src/sidecar/outbound_quota.cpp
@@ -5,13 +5,13 @@
 #include "sidecar/events.h"
 #include "sidecar/outbound_calls.h"
 
-/// On whose behalf callers' requests come, and how they keep to their tenants' limits.
+/// Tenants of callers' requests, and the enforcement of the tenants' request limits.
 namespace cometstand::sidecar {
 namespace {
 
-/// Callers that are refused together do not come back together: the time is drawn up to so many times as
-/// long.
-constexpr int kRetrySpread = 2;
+/// Upper end of the random retry delay as a multiple of its lower end, so that callers that are refused
+/// together do not retry together.
+constexpr int kMaxRetryAfterFactor = 2;
 
 }  // namespace
 
@@ -33,16 +33,16 @@
   parts_.quota.noteRequest(tenant, now);
   const auto decision = parts_.quota.take(tenant, now);
   if (decision.verdict != TenantQuota::Verdict::Wait) {
-    carryOut(id, decision, now);
+    applyQuotaDecision(id, decision, now);
     return;
   }
-  // It has no other use for the time that it may wait for a slot.
-  const TimePoint deadline = now + std::min(patienceOf(call, now), TenantQuota::kMostWait);
+  // Waiting for a token uses up the time that the request may spend in an endpoint's queue.
+  const TimePoint deadline = now + std::min(remainingQueueTime(call, now), TenantQuota::kMaxTokenWait);
   call.quota_deadline = deadline;
   quota_waits_.emplace(deadline, id);
 }
 
-void OutboundCalls::carryOut(CallId id, const TenantQuota::Decision& decision, TimePoint now) {
+void OutboundCalls::applyQuotaDecision(CallId id, const TenantQuota::Decision& decision, TimePoint now) {
   auto& call = calls_.at(id);
   if (decision.verdict == TenantQuota::Verdict::Granted) {
     call.token = decision.token;
@@ -51,11 +51,12 @@
   }
   CallAnswer answer;
   answer.outcome = CallOutcome::OverQuota;
-  answer.retry_after = parts_.random.uniform(decision.retry_after, kRetrySpread * decision.retry_after);
+  answer.retry_after =
+      parts_.random.uniform(decision.retry_after, kMaxRetryAfterFactor * decision.retry_after);
   finish(id, std::move(answer), now);
 }
 
-void OutboundCalls::endQuotaWait(CallId id, CallState& call) {
+void OutboundCalls::removeQuotaWait(CallId id, CallState& call) {
   if (!call.quota_deadline) return;
   quota_waits_.erase({*call.quota_deadline, id});
   call.quota_deadline.reset();
@@ -69,24 +70,24 @@
     if (found == calls_.end() || !found->second.quota_deadline) continue;
     const auto decision = parts_.quota.takeAfterWait(found->second.request->tenant, now);
     if (decision.verdict == TenantQuota::Verdict::Wait) continue;
-    endQuotaWait(id, found->second);
-    carryOut(id, decision, now);
+    removeQuotaWait(id, found->second);
+    applyQuotaDecision(id, decision, now);
   }
-  parts_.quota.askForWaiting(now);
+  parts_.quota.requestForWaiting(now);
 }
 
-void OutboundCalls::giveUpQuotaWaits(TimePoint now) {
+void OutboundCalls::expireQuotaWaits(TimePoint now) {
   while (!quota_waits_.empty() && quota_waits_.begin()->first <= now) {
     const CallId id = quota_waits_.begin()->second;
     auto& call = calls_.at(id);
-    endQuotaWait(id, call);
+    removeQuotaWait(id, call);
     parts_.quota.stopWaiting(call.request->tenant);
-    carryOut(id, {TenantQuota::Verdict::Denied, {}, TenantQuota::kLeaderlessRetry}, now);
+    applyQuotaDecision(id, {TenantQuota::Verdict::Denied, {}, TenantQuota::kLeaderlessRetryAfter}, now);
   }
 }
 
-void OutboundCalls::settleToken(const CallState& call, bool ran, TimePoint now) {
-  if (call.token) parts_.quota.settle(call.request->tenant, *call.token, ran, now);
+void OutboundCalls::releaseToken(const CallState& call, bool ran, TimePoint now) {
+  if (call.token) parts_.quota.release(call.request->tenant, *call.token, ran, now);
 }
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/outbound_regions.cpp
+++ b/src/sidecar/outbound_regions.cpp
@@ -2,12 +2,13 @@
 
 #include "sidecar/outbound_calls.h"
 
-/// What regions mean for callers' requests: where they may be served, and what the way there takes.
+/// Regions in which callers' requests may be served, and the accounting of transfers between regions.
 namespace cometstand::sidecar {
 namespace {
 
-/// With larger bodies the time of a transfer says how wide the machines' own links are.
-constexpr std::size_t kMostMeasuredBytes = 4 * 1024;
+/// Transfers with more bytes are no samples of the round-trip time, because their duration depends on the
+/// bandwidth of the hosts' own links.
+constexpr std::size_t kMaxRoundTripSampleBytes = 4 * 1024;
 
 }  // namespace
 
@@ -19,8 +20,8 @@
   return newest == nullptr ? std::vector<std::string>() : newest->regions;
 }
 
-/// A gate that has a newer configuration than this sidecar may have to refuse what crosses regions, or what
-/// is kept to some.
+/// The receiving sidecar may have a newer configuration and have to refuse requests that cross regions or
+/// that are restricted to some of them, so it needs the route's name.
 std::string OutboundCalls::routeNameFor(const CallState& call, const Endpoint& endpoint) const {
   const bool crosses_regions =
       parts_.endpoints.regionLinks().distanceOf(endpoint) == mesh::ZoneDistance::OtherRegion;
@@ -29,7 +30,7 @@
   return is_needed ? call.route->name : std::string();
 }
 
-Duration OutboundCalls::wayTo(const Endpoint* endpoint, TimePoint now) const {
+Duration OutboundCalls::crossRegionRoundTrip(const Endpoint* endpoint, TimePoint now) const {
   const auto& links = parts_.endpoints.regionLinks();
   const bool is_far = endpoint != nullptr && links.distanceOf(*endpoint) == mesh::ZoneDistance::OtherRegion;
   return is_far ? links.roundTrip(*endpoint, now) : Duration::zero();
@@ -41,16 +42,16 @@
   const std::size_t sent = call.announced ? call.body_sent : call.request->body.size();
   Transfer transfer;
   transfer.expected_bytes = call.expected_bytes;
-  transfer.actual_bytes = sent + call.passed_bytes + reply.body.size();
-  if (transfer.actual_bytes <= kMostMeasuredBytes) {
+  transfer.actual_bytes = sent + call.streamed_bytes + reply.body.size();
+  if (transfer.actual_bytes <= kMaxRoundTripSampleBytes) {
     transfer.round_trip = now - call.sent_at - std::chrono::milliseconds(reply.at_endpoint_ms);
   }
   parts_.endpoints.regionLinks().onEnded(endpoint, transfer, now);
 }
 
-void OutboundCalls::withdrawBody(CallId id, CallState& call, TimePoint now) {
-  recall(call, now);
-  onRefused(id, call, lostBeforeWhole(), now);
+void OutboundCalls::abortUpload(CallId id, CallState& call, TimePoint now) {
+  cancelAttempt(call, now);
+  onRefused(id, call, incompleteUploadReply(), now);
 }
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/refusal_share.h
+++ b/src/sidecar/refusal_share.h
@@ -5,13 +5,13 @@
 
 namespace cometstand::sidecar {
 
-/// The share of this sidecar's requests for each service that lately ended refused: how overloaded the
-/// service is, as its callers see it.
+/// The smoothed share of this sidecar's recent requests for each service that were refused: a measure of the
+/// service's overload.
 class RefusalShare {
  public:
   void note(const std::string& service, bool refused) {
     double& share = shares_[service];
-    share += kNewest * ((refused ? 1 : 0) - share);
+    share += kNewestWeight * ((refused ? 1 : 0) - share);
   }
 
   /// @return from 0 to 1; 0 before the first request.
@@ -21,9 +21,9 @@
   }
 
  private:
-  /// Weight of the newest request: some ten requests make the share, less than a second of a busy sidecar's
-  /// traffic.
-  static constexpr double kNewest = 0.1;
+  /// Weight of the latest request: the share covers about ten requests, less than a second of a busy
+  /// sidecar's traffic.
+  static constexpr double kNewestWeight = 0.1;
 
   std::map<std::string, double> shares_;
 };
--- a/src/sidecar/region_links.cpp
+++ b/src/sidecar/region_links.cpp
@@ -8,22 +8,22 @@
 namespace cometstand::sidecar {
 namespace {
 
-/// Part of a link's capacity for requests and answers; the rest is for configurations, records and
-/// heartbeats, and for what transport adds. Reckoned.
+/// Part of a link's capacity for requests and answers; the rest is for configurations, records, heartbeats
+/// and the overhead of the transport protocol.
 constexpr double kUsableShare = 0.8;
-/// Each direction carries requests of the one region and answers to the other.
-constexpr double kUsersOfDirection = 2;
-/// What a request and its answer take besides their bodies: fields and frames. Reckoned.
+/// Each direction of a link carries the requests of one region and the answers to the requests of the other.
+constexpr double kFlowsPerDirection = 2;
+/// Estimated bytes of a request and its answer besides their bodies: header fields and framing.
 constexpr std::size_t kOverheadBytes = 1'000;
-/// Requests with no more bytes than this are small.
-constexpr std::size_t kSmallBytes = 4 * 1024;
-/// A way shows a queue if it takes longer than without one by this part, and by this time at least: less may
-/// be the endpoints' processors. Reckoned.
-constexpr double kQueuedRise = 0.5;
-constexpr Duration kLeastQueuedRise = std::chrono::milliseconds(15);
+/// Largest size of a request that counts as small.
+constexpr std::size_t kMaxSmallBytes = 4 * 1024;
+/// A link counts as queued if its round-trip time has risen by more than this part of its minimum and by more
+/// than kMinQueuedRise; a smaller rise may be due to the load of the endpoints' processors.
+constexpr double kMinQueuedRiseShare = 0.5;
+constexpr Duration kMinQueuedRise = std::chrono::milliseconds(15);
 
 TransferClass classOf(const EndpointWant& want) {
-  const bool is_small = want.bytes <= kSmallBytes;
+  const bool is_small = want.bytes <= kMaxSmallBytes;
   if (want.is_urgent && is_small) return TransferClass::First;
   return want.is_urgent || is_small ? TransferClass::Second : TransferClass::Last;
 }
@@ -34,7 +34,7 @@
   const double capacity = options_.region_link_bandwidth;
   if (capacity <= 0) return;
   const auto count = static_cast<double>(std::max<std::size_t>(1, senders));
-  ceiling_ = capacity * kUsableShare / kUsersOfDirection / count;
+  ceiling_ = capacity * kUsableShare / kFlowsPerDirection / count;
   for (auto& [name, region] : regions_) region.share.setCeiling(ceiling_);
 }
 
@@ -70,13 +70,13 @@
                                 {"least_round_trip_ms", ceilMilliseconds(region.meter.floor())}});
 }
 
-/// What makes the endpoints of the own region slow as well, such as this machine's own link or processor, is
-/// no queue between the regions.
+/// Subtracts the rise of the round-trip time in the own region, because causes that slow down its endpoints
+/// as well, such as this host's own link or processor, are no queue between the regions.
 bool RegionLinks::isQueued(const Region& region, TimePoint now) const {
   const auto own = regions_.find(options_.zones.regionOf(options_.zone));
   const Duration own_rise = own == regions_.end() ? Duration::zero() : own->second.meter.rise(now);
-  const auto part = std::chrono::duration_cast<Duration>(kQueuedRise * region.meter.floor());
-  return region.meter.rise(now) - own_rise > std::max(part, kLeastQueuedRise);
+  const auto part = std::chrono::duration_cast<Duration>(kMinQueuedRiseShare * region.meter.floor());
+  return region.meter.rise(now) - own_rise > std::max(part, kMinQueuedRise);
 }
 
 Duration RegionLinks::roundTrip(const Endpoint& endpoint, TimePoint now) const {
--- a/src/sidecar/region_links.h
+++ b/src/sidecar/region_links.h
@@ -13,18 +13,19 @@
 
 namespace cometstand::sidecar {
 
-/// What a request that was sent and its answer made of the way.
+/// Size and round-trip time of one attempt, request and answer together.
 struct Transfer {
-  /// Bytes that were taken for it.
+  /// Bytes that were charged to the link's share when the request was sent.
   std::size_t expected_bytes = 0;
   std::size_t actual_bytes = 0;
-  /// Time of the way there and back; nothing if it says more of the bodies than of the way.
+  /// Round-trip time without processing; none if large bodies took most of that time.
   std::optional<Duration> round_trip;
 };
 
-/// This sender's use of the links between its region and the others: how long the way is, and how many bytes
-/// it may have there. All senders of a region use one link, and none knows what the others do: each keeps to
-/// an equal part of the capacity, as far as that is known, and to less while the way shows a queue.
+/// Tracks the round-trip time from this sender's region to the other ones and limits the bytes it sends
+/// there. All senders of a region share one link to each other region without knowing each other's load, so
+/// each keeps to an equal part of the capacity, if that is known, and to less while the round-trip time shows
+/// a queue.
 class RegionLinks {
  public:
   /// @param options must outlive the object.
@@ -33,7 +34,7 @@
   mesh::ZoneDistance distanceOf(const Endpoint& endpoint) const {
     return options_.zones.distance(options_.zone, endpoint.zone);
   }
-  /// @param senders of the own region, this one included.
+  /// @param senders the number of senders in the own region, this one included.
   void setSenders(std::size_t senders);
 
   /// @return false if this sender's share of the link to the endpoint's region is used up for such a request.
@@ -41,13 +42,15 @@
   void onSent(const Endpoint& endpoint, std::size_t bytes, TimePoint now);
   void onEnded(const Endpoint& endpoint, const Transfer& transfer, TimePoint now);
 
-  /// @return the time to the endpoint's region and back, as measured or else as the settings say.
+  /// @return the round-trip time to the endpoint's region: the latest sample, or the configured one if there
+  /// is none.
   Duration roundTrip(const Endpoint& endpoint, TimePoint now) const;
-  /// @return bytes a second that this sender may use, by region.
+  /// @return the bytes a second that this sender may send, by name of the other region.
   std::map<std::string, double> rates() const;
-  /// Requests for which endpoints of another region were left out, since the share was used up.
-  std::uint64_t heldBack() const { return held_back_; }
-  void noteHeldBack() { ++held_back_; }
+  /// @return the number of requests for which endpoints of another region were excluded because the link's
+  /// share was used up.
+  std::uint64_t heldBack() const { return throttled_; }
+  void noteHeldBack() { ++throttled_; }
 
  private:
   struct Region {
@@ -59,10 +62,11 @@
   bool isQueued(const Region& region, TimePoint now) const;
 
   const SidecarOptions& options_;
-  /// By name; the own one too, as what is slow there is not the link between regions.
+  /// Regions by name. The own region is included as the baseline: slowness that shows there, too, is not
+  /// caused by the links between regions.
   std::map<std::string, Region> regions_;
   double ceiling_ = LinkShare::kUnbounded;
-  std::uint64_t held_back_ = 0;
+  std::uint64_t throttled_ = 0;
 };
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/retry_budget.h
+++ b/src/sidecar/retry_budget.h
@@ -10,74 +10,79 @@
 
 namespace cometstand::sidecar {
 
-/// This sidecar's part of the retries that all sidecars together may send to a service: a token bucket for
-/// each service, filled by its requests.
+/// This sidecar's share of the retries that all sidecars together may send: a token bucket for each service,
+/// filled by the requests for it.
 class RetryBudget {
  public:
-  /// @param shared_ratio what all sidecars together may send again, as a share of the requests; half of it is
-  /// used.
-  /// @param shared_slack what they may send again besides.
+  /// @param shared_ratio the retries that all sidecars together may send, as a share of their requests; half
+  /// of it is used.
+  /// @param burst the largest number of tokens that are saved up for a service.
+  /// @param shared_slack the number of retries in a window that all sidecars together may send beyond that
+  /// share.
   RetryBudget(double shared_ratio, double burst, double shared_slack)
-      : ratio_(shared_ratio * kUsedShare), burst_(burst), shared_slack_(shared_slack) {}
+      : ratio_(shared_ratio * kUsedRatioShare), burst_(burst), shared_slack_(shared_slack) {}
 
-  /// So many sidecars share what is allowed.
+  /// @param sidecars the number of sidecars that share the allowed retries.
   void setSidecars(std::size_t sidecars) {
-    const double part = kUsedSlack * shared_slack_ / static_cast<double>(std::max<std::size_t>(1, sidecars));
-    kept_ = std::clamp(part, kFirstTokens, std::max(burst_, kFirstTokens));
+    const double part =
+        kUsedSlackShare * shared_slack_ / static_cast<double>(std::max<std::size_t>(1, sidecars));
+    retained_tokens_ = std::clamp(part, kInitialTokens, std::max(burst_, kInitialTokens));
   }
 
-  /// A first sending of a request for the service.
+  /// Counts a new request for the service.
   void onRequest(const std::string& service, TimePoint now) {
     auto& bucket = buckets_[service];
-    bucket.fade(kept_, now);
-    bucket.tokens = std::min(bucket.tokens + ratio_, std::max(burst_, kFirstTokens));
+    bucket.decay(retained_tokens_, now);
+    bucket.tokens = std::min(bucket.tokens + ratio_, std::max(burst_, kInitialTokens));
   }
 
+  /// Takes a token for a retry.
   /// @param is_urgent false leaves the last token to more urgent requests for the service.
-  /// @return true if one more sending is allowed; it is then counted.
+  /// @return true if the retry is allowed.
   bool take(const std::string& service, bool is_urgent, TimePoint now) {
     const auto found = buckets_.find(service);
     if (found == buckets_.end()) return false;
     auto& bucket = found->second;
-    bucket.fade(kept_, now);
-    if (bucket.tokens < (is_urgent ? 1 : 1 + kReserved)) return false;
+    bucket.decay(retained_tokens_, now);
+    if (bucket.tokens < (is_urgent ? 1 : 1 + kReservedTokens)) return false;
     bucket.tokens -= 1;
     return true;
   }
 
  private:
   struct Bucket {
-    double tokens = kFirstTokens;
-    TimePoint faded_at;
+    double tokens = kInitialTokens;
+    TimePoint decayed_at;
 
-    /// What is saved beyond a part of the shared slack fades: else all sidecars together could save up
-    /// `burst` each, more than all may send again in a window (3,500 of 2,000 at 1,178 sidecars), and send it
-    /// at one moment.
-    void fade(double kept, TimePoint now) {
-      if (tokens > kept) {
-        const double time = std::chrono::duration<double>(now - faded_at).count();
-        tokens = kept + (tokens - kept) * std::exp(-time / kFadeSeconds);
+    /// Lets tokens beyond this sidecar's share of the slack decay. Otherwise each sidecar could save up
+    /// `burst` tokens and all could use them at the same moment: 3,500 retries of 1,178 sidecars, where 2,000
+    /// are allowed in a window.
+    void decay(double retained, TimePoint now) {
+      if (tokens > retained) {
+        const double time = std::chrono::duration<double>(now - decayed_at).count();
+        tokens = retained + (tokens - retained) * std::exp(-time / kDecaySeconds);
       }
-      faded_at = now;
+      decayed_at = now;
     }
   };
 
-  static constexpr double kFirstTokens = 1;
-  /// Tokens that are kept for urgent requests.
-  static constexpr double kReserved = 1;
-  static constexpr double kUsedShare = 0.5;
-  /// Half of the window in which operators count retries, so that what is saved is a quarter of what a window
-  /// allows at most.
-  static constexpr double kFadeSeconds = 5;
+  static constexpr double kInitialTokens = 1;
+  /// Tokens that only urgent requests may take.
+  static constexpr double kReservedTokens = 1;
+  /// Used part of the shared ratio; the rest allows for random variation.
+  static constexpr double kUsedRatioShare = 0.5;
+  /// Time constant of the decay: half of the window in which operators count retries, so that the saved
+  /// tokens are at most a quarter of the retries that are allowed in a window.
+  static constexpr double kDecaySeconds = 5;
 
-  /// The rest of the slack is for chance.
-  static constexpr double kUsedSlack = 0.8;
+  /// Used part of the shared slack; the rest allows for random variation.
+  static constexpr double kUsedSlackShare = 0.8;
 
   double ratio_;
   double burst_;
   double shared_slack_;
-  /// Tokens that a sidecar may keep for as long as it likes.
-  double kept_ = kFirstTokens;
+  /// Tokens in a bucket up to this number do not decay.
+  double retained_tokens_ = kInitialTokens;
   std::map<std::string, Bucket> buckets_;
 };
 
--- a/src/sidecar/tenant_quota.cpp
+++ b/src/sidecar/tenant_quota.cpp
@@ -7,22 +7,23 @@
 namespace cometstand::sidecar {
 namespace {
 
-/// Time constant of the smoothed demand.
-constexpr double kDemandSeconds = 1;
-/// Tokens are wanted ahead for the requests of this time: two rounds.
-constexpr double kAheadSeconds = 0.4;
-/// A tenant with fewer requests a second gets no token ahead: more than half of these would lie idle, and
-/// each way to the leader costs less than renewing them.
-constexpr double kLeastDemand = 0.5;
-/// Tokens that lay unused for so long are given back: as long as three rounds.
+/// Time constant of the smoothed request rate.
+constexpr double kDemandTimeConstantSeconds = 1;
+/// Tokens are requested in advance for the requests expected in this time: two report intervals.
+constexpr double kPrefetchSeconds = 0.4;
+/// No tokens are requested in advance for a tenant with fewer requests a second: more than half of them would
+/// stay unused, and renewing them would cost more than a round trip to the leader for each request.
+constexpr double kMinPrefetchDemand = 0.5;
+/// Tokens that have been unused for this time are returned: three report intervals.
 constexpr Duration kIdleTime = std::chrono::milliseconds(600);
-/// After a denial requests are refused at once for this time; half a round.
-constexpr Duration kDenialTime = std::chrono::milliseconds(100);
-/// A tenant without requests for so long is forgotten.
-constexpr double kForgottenDemand = 0.01;
+/// Time after a denial in which further requests are refused without asking the leader: half a report
+/// interval.
+constexpr Duration kDenialCacheTime = std::chrono::milliseconds(100);
+/// The account of a tenant with fewer requests a second and without tokens is removed.
+constexpr double kMinTrackedDemand = 0.01;
 
 double decayed(double demand, Duration time) {
-  return demand * std::exp(-std::chrono::duration<double>(time).count() / kDemandSeconds);
+  return demand * std::exp(-std::chrono::duration<double>(time).count() / kDemandTimeConstantSeconds);
 }
 
 }  // namespace
@@ -41,19 +42,19 @@
   return tokens;
 }
 
-void TenantQuota::dropVoid(Account& account, TimePoint now) {
+void TenantQuota::dropExpired(Account& account, TimePoint now) {
   std::erase_if(account.batches,
-                [now](const Batch& batch) { return batch.count == 0 || batch.token.void_at <= now; });
+                [now](const Batch& batch) { return batch.count == 0 || batch.token.expires_at <= now; });
 }
 
 void TenantQuota::noteRequest(const std::string& tenant, TimePoint now) {
   auto& account = accounts_[tenant];
-  account.demand = decayed(account.demand, now - account.demand_at) + 1 / kDemandSeconds;
+  account.demand = decayed(account.demand, now - account.demand_at) + 1 / kDemandTimeConstantSeconds;
   account.demand_at = now;
 }
 
 std::optional<TenantQuota::Decision> TenantQuota::takeHeld(Account& account, TimePoint now) {
-  dropVoid(account, now);
+  dropExpired(account, now);
   if (!account.batches.empty()) {
     auto& batch = account.batches.front();
     const QuotaToken token = batch.token;
@@ -68,11 +69,11 @@
 TenantQuota::Decision TenantQuota::take(const std::string& tenant, TimePoint now) {
   auto& account = accounts_[tenant];
   if (const auto decision = takeHeld(account, now)) return *decision;
-  // While no leader answers, one request now and then finds out whether there is one again.
-  const bool is_hopeless = !is_answered_ && (asked_at_ || now < retry_at_);
-  if (is_hopeless) return {Verdict::Denied, {}, kLeaderlessRetry};
+  // While no leader answers, only one request per retry interval waits, to probe for a new leader.
+  const bool is_leaderless = !has_leader_ && (requested_at_ || now < retry_at_);
+  if (is_leaderless) return {Verdict::Denied, {}, kLeaderlessRetryAfter};
   ++account.waiting;
-  askForWaiting(now);
+  requestForWaiting(now);
   return {Verdict::Wait, {}, {}};
 }
 
@@ -88,138 +89,139 @@
   account.waiting -= std::min<std::uint64_t>(1, account.waiting);
 }
 
-void TenantQuota::settle(const std::string& tenant, const QuotaToken& token, bool ran, TimePoint now) {
+void TenantQuota::release(const std::string& tenant, const QuotaToken& token, bool ran, TimePoint now) {
   if (token.generation != generation_) return;
   auto& account = accounts_[tenant];
   account.in_use -= std::min<std::uint64_t>(1, account.in_use);
-  if (!ran && now < token.void_at) account.batches.insert(account.batches.begin(), {token, 1, now});
+  if (!ran && now < token.expires_at) account.batches.insert(account.batches.begin(), {token, 1, now});
 }
 
-std::uint64_t TenantQuota::aheadOf(const Account& account, TimePoint now) {
+std::uint64_t TenantQuota::prefetchCount(const Account& account, TimePoint now) {
   const double demand = decayed(account.demand, now - account.demand_at);
-  if (demand < kLeastDemand) return 0;
-  const auto wanted = static_cast<std::uint64_t>(std::ceil(demand * kAheadSeconds));
+  if (demand < kMinPrefetchDemand) return 0;
+  const auto wanted = static_cast<std::uint64_t>(std::ceil(demand * kPrefetchSeconds));
   const std::uint64_t free = account.free();
   return free >= wanted ? 0 : wanted - free;
 }
 
-std::uint64_t TenantQuota::takeIdle(Account& account, TimePoint now) const {
+std::uint64_t TenantQuota::removeIdle(Account& account, TimePoint now) const {
   std::uint64_t idle = 0;
   for (auto& batch : account.batches) {
-    if (batch.token.generation != generation_ || now < batch.came + kIdleTime) continue;
+    if (batch.token.generation != generation_ || now < batch.received_at + kIdleTime) continue;
     idle += std::exchange(batch.count, 0);
   }
-  dropVoid(account, now);
+  dropExpired(account, now);
   return idle;
 }
 
-std::shared_ptr<wire::QuotaNeedT> TenantQuota::needOf(const std::string& tenant, Account& account,
-                                                      TimePoint now) {
+std::shared_ptr<wire::QuotaNeedT> TenantQuota::makeNeed(const std::string& tenant, Account& account,
+                                                        TimePoint now) {
   auto need = std::make_shared<wire::QuotaNeedT>();
   need->tenant = tenant;
-  need->returned = static_cast<std::uint32_t>(takeIdle(account, now));
+  need->returned = static_cast<std::uint32_t>(removeIdle(account, now));
   need->held = static_cast<std::uint32_t>(heldOf(account));
   need->need = static_cast<std::uint32_t>(account.waiting);
-  need->ahead = static_cast<std::uint32_t>(aheadOf(account, now));
-  account.told_held = need->held;
+  need->ahead = static_cast<std::uint32_t>(prefetchCount(account, now));
+  account.reported_held = need->held;
   return need;
 }
 
-bool TenantQuota::hasNews(const Account& account, TimePoint now) const {
+bool TenantQuota::hasChanges(const Account& account, TimePoint now) const {
   const bool has_idle =
       std::any_of(account.batches.begin(), account.batches.end(), [this, now](const Batch& batch) {
-        return batch.token.generation == generation_ && now >= batch.came + kIdleTime;
+        return batch.token.generation == generation_ && now >= batch.received_at + kIdleTime;
       });
-  return has_idle || account.told_held != heldOf(account) || aheadOf(account, now) > 0;
+  return has_idle || account.reported_held != heldOf(account) || prefetchCount(account, now) > 0;
 }
 
-/// @param is_round true: of all tenants of whom there is anything to tell; else of those with requests that
-/// wait.
-void TenantQuota::ask(bool is_round, TimePoint now) {
+/// Sends the leader a request for tokens.
+/// @param is_full_report true to include all tenants with changes; false for tenants with waiting requests
+/// only.
+void TenantQuota::requestTokens(bool is_full_report, TimePoint now) {
   wire::QuotaRequestT request;
   for (auto& [tenant, account] : accounts_) {
-    dropVoid(account, now);
-    if (account.waiting > 0 || (is_round && hasNews(account, now)))
-      request.needs.push_back(needOf(tenant, account, now));
+    dropExpired(account, now);
+    if (account.waiting > 0 || (is_full_report && hasChanges(account, now)))
+      request.needs.push_back(makeNeed(tenant, account, now));
   }
   if (request.needs.empty()) return;
   request.sequence = ++sequence_;
   request.acknowledged = acknowledged_;
   request.generation = generation_;
-  asked_ = ask_(request, leader_, silent_);
-  if (asked_) {
-    asked_at_ = now;
+  requested_store_ = send_request_(request, leader_, unresponsive_store_);
+  if (requested_store_) {
+    requested_at_ = now;
   } else {
-    onSilence(now);
+    onNoLeader(now);
   }
 }
 
-void TenantQuota::askForWaiting(TimePoint now) {
+void TenantQuota::requestForWaiting(TimePoint now) {
   const bool waits = std::any_of(accounts_.begin(), accounts_.end(),
                                  [](const auto& item) { return item.second.waiting > 0; });
-  if (waits && !asked_at_) ask(false, now);
+  if (waits && !requested_at_) requestTokens(false, now);
 }
 
-/// The store that was asked does not lead, does not answer, or is not there.
-void TenantQuota::onSilence(TimePoint now) {
-  asked_at_.reset();
-  is_answered_ = false;
-  silent_ = asked_;
+/// Handles that the requested store is not the leader or did not answer, or that no store is connected.
+void TenantQuota::onNoLeader(TimePoint now) {
+  requested_at_.reset();
+  has_leader_ = false;
+  unresponsive_store_ = requested_store_;
   leader_.reset();
   retry_at_ = now + kRetryInterval;
 }
 
 bool TenantQuota::onGrant(const Address& from, const wire::QuotaGrantT& grant, TimePoint now) {
-  if (!asked_at_ || grant.sequence != sequence_) return false;
-  const TimePoint asked_at = *asked_at_;
+  if (!requested_at_ || grant.sequence != sequence_) return false;
+  const TimePoint requested_at = *requested_at_;
   if (grant.generation == 0) {
-    onSilence(now);
-    silent_.reset();
+    onNoLeader(now);
+    unresponsive_store_.reset();
     if (grant.leader == nullptr) return false;
     leader_ = Address{grant.leader->host, grant.leader->port};
     retry_at_ = now + kRedirectInterval;
     return false;
   }
-  asked_at_.reset();
-  is_answered_ = true;
+  requested_at_.reset();
+  has_leader_ = true;
   leader_ = from;
-  silent_.reset();
+  unresponsive_store_.reset();
   if (std::exchange(generation_, grant.generation) != grant.generation) {
     for (auto& [tenant, account] : accounts_) account.in_use = 0;
   }
   acknowledged_ = grant.sequence;
   for (const auto& share : grant.shares) {
     auto& account = accounts_[share->tenant];
-    const QuotaToken token{generation_, asked_at + std::chrono::milliseconds(grant.valid_ms)};
+    const QuotaToken token{generation_, requested_at + std::chrono::milliseconds(grant.valid_ms)};
     if (share->granted > 0) account.batches.push_back({token, share->granted, now});
-    account.told_held += share->granted;
+    account.reported_held += share->granted;
     if (share->retry_after_ms == 0) continue;
     account.retry_after = std::chrono::milliseconds(share->retry_after_ms);
-    account.denied_until = now + kDenialTime;
+    account.denied_until = now + kDenialCacheTime;
   }
   return true;
 }
 
 void TenantQuota::onTimer(TimePoint now) {
-  if (asked_at_ && now >= *asked_at_ + kAnswerTime) onSilence(now);
-  const bool is_retry = !is_answered_ && now >= retry_at_;
-  if (asked_at_ || (now < round_at_ && !is_retry)) return;
-  round_at_ = now + kRound;
-  if (!is_answered_) retry_at_ = now + kRetryInterval;
-  std::erase_if(accounts_, [this, now](const auto& item) { return isForgotten(item.second, now); });
-  ask(true, now);
+  if (requested_at_ && now >= *requested_at_ + kAnswerTimeout) onNoLeader(now);
+  const bool is_retry = !has_leader_ && now >= retry_at_;
+  if (requested_at_ || (now < next_report_at_ && !is_retry)) return;
+  next_report_at_ = now + kReportInterval;
+  if (!has_leader_) retry_at_ = now + kRetryInterval;
+  std::erase_if(accounts_, [this, now](const auto& item) { return isRemovable(item.second, now); });
+  requestTokens(true, now);
 }
 
-bool TenantQuota::isForgotten(const Account& account, TimePoint now) const {
+bool TenantQuota::isRemovable(const Account& account, TimePoint now) const {
   const bool is_empty = account.waiting == 0 && account.in_use == 0 && account.batches.empty();
-  return is_empty && account.told_held == 0 &&
-         decayed(account.demand, now - account.demand_at) < kForgottenDemand;
+  return is_empty && account.reported_held == 0 &&
+         decayed(account.demand, now - account.demand_at) < kMinTrackedDemand;
 }
 
 TimePoint TenantQuota::nextTimer() const {
   if (accounts_.empty()) return TimePoint::max();
-  if (asked_at_) return *asked_at_ + kAnswerTime;
-  return is_answered_ ? round_at_ : std::min(round_at_, retry_at_);
+  if (requested_at_) return *requested_at_ + kAnswerTimeout;
+  return has_leader_ ? next_report_at_ : std::min(next_report_at_, retry_at_);
 }
 
 }  // namespace cometstand::sidecar
--- a/tests/sidecar/tenant_test.cpp
+++ b/tests/sidecar/tenant_test.cpp
@@ -1,4 +1,4 @@
-// On whose behalf requests come, and how a sidecar keeps to tenants' limits.
+// Tests the assignment of requests to tenants and the enforcement of the tenants' request limits.
 #include "mesh/tenant_table.h"
 #include "sidecar_fixture.h"
 
@@ -15,7 +15,7 @@
     step();
   }
 
-  /// "free" has no limit, "bound" has one.
+  /// Returns a configuration with the tenant "free", which has no limit, and "bound", which has one.
   static wire::MeshConfigurationT makeTenantConfiguration(const std::string& free_key = "free-key") {
     auto configuration = makeConfiguration();
     configuration.requires_key = true;
@@ -38,7 +38,7 @@
     return tenant;
   }
 
-  CallId ask(const std::optional<std::string>& key, const std::string& path = "/read/x") {
+  CallId sendCall(const std::optional<std::string>& key, const std::string& path = "/read/x") {
     Call call;
     call.host = "shop.example";
     if (key) call.key = mesh::digestOfKey(*key);
@@ -51,28 +51,30 @@
     return id;
   }
   CallOutcome outcomeOf(CallId id) { return callers.answers.at(id).outcome; }
-  bool isOpen(CallId id) const { return !callers.answers.contains(id); }
+  bool isPending(CallId id) const { return !callers.answers.contains(id); }
 
-  /// @return the questions for tokens that were sent since the last call.
-  std::vector<wire::QuotaRequestT> takeQuestions() {
-    std::vector<wire::QuotaRequestT> questions;
+  /// @return the requests for tokens that were sent to the store since the last call; drops other sent
+  /// messages.
+  std::vector<wire::QuotaRequestT> takeQuotaRequests() {
+    std::vector<wire::QuotaRequestT> quota_requests;
     for (const auto& item : std::exchange(sent, {})) {
-      if (const auto* question = item.message->body.AsQuotaRequest()) questions.push_back(*question);
+      if (const auto* quota_request = item.message->body.AsQuotaRequest())
+        quota_requests.push_back(*quota_request);
     }
-    return questions;
+    return quota_requests;
   }
-  void grant(const wire::QuotaRequestT& question, std::uint32_t granted, std::uint32_t retry_after_ms = 0,
-             std::uint64_t generation = 3) {
-    wire::QuotaGrantT answer;
-    answer.sequence = question.sequence;
-    answer.generation = generation;
-    answer.valid_ms = 2'000;
+  void grant(const wire::QuotaRequestT& quota_request, std::uint32_t granted,
+             std::uint32_t retry_after_ms = 0, std::uint64_t generation = 3) {
+    wire::QuotaGrantT store_reply;
+    store_reply.sequence = quota_request.sequence;
+    store_reply.generation = generation;
+    store_reply.valid_ms = 2'000;
     auto share = std::make_shared<wire::QuotaShareT>();
     share->tenant = "bound";
     share->granted = granted;
     share->retry_after_ms = retry_after_ms;
-    answer.shares.push_back(share);
-    say(kStore, answer);
+    store_reply.shares.push_back(share);
+    say(kStore, store_reply);
   }
 
  private:
@@ -81,38 +83,40 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(TenantFixture, "a request of a known key runs in its tenant's name", "[tenant]") {
-  ask("free-key");
+TEST_CASE_METHOD(TenantFixture, "a request with a known key runs for the tenant that holds the key",
+                 "[tenant]") {
+  sendCall("free-key");
   REQUIRE(target.orders.size() == 1);
   CHECK(target.orders.front().request->tenant == "free");
 }
 
-TEST_CASE_METHOD(TenantFixture, "a request without a key that a tenant holds does not run", "[tenant]") {
+TEST_CASE_METHOD(TenantFixture, "a request without a key of a tenant is not run", "[tenant]") {
   const auto key = GENERATE(as<std::optional<std::string>>(), std::nullopt, "", "other", "free");
-  const auto id = ask(key);
+  const auto id = sendCall(key);
   CHECK(outcomeOf(id) == CallOutcome::UnknownKey);
   CHECK(target.orders.empty());
 }
 
-TEST_CASE_METHOD(TenantFixture, "a public route takes all, in the name of a tenant if the key is one's",
+TEST_CASE_METHOD(TenantFixture,
+                 "a public route accepts all requests and assigns those with a known key to its tenant",
                  "[tenant]") {
-  ask(std::nullopt, "/open/x");
-  ask("other", "/open/x");
-  ask("free-key", "/open/x");
+  sendCall(std::nullopt, "/open/x");
+  sendCall("other", "/open/x");
+  sendCall("free-key", "/open/x");
   REQUIRE(target.orders.size() == 3);
   CHECK(target.orders[0].request->tenant.empty());
   CHECK(target.orders[1].request->tenant.empty());
   CHECK(target.orders[2].request->tenant == "free");
 }
 
-TEST_CASE_METHOD(TenantFixture, "a key that was taken away opens nothing from then on", "[tenant]") {
+TEST_CASE_METHOD(TenantFixture, "a key that was removed from the configuration is refused", "[tenant]") {
   configure(2, makeTenantConfiguration("new-key"));
-  CHECK(outcomeOf(ask("free-key")) == CallOutcome::UnknownKey);
-  ask("new-key");
+  CHECK(outcomeOf(sendCall("free-key")) == CallOutcome::UnknownKey);
+  sendCall("new-key");
   CHECK(target.orders.size() == 1);
 }
 
-TEST_CASE("a sidecar without a configuration does not judge keys", "[tenant]") {
+TEST_CASE("a sidecar without a configuration answers as not run instead of as an unknown key", "[tenant]") {
   SidecarFixture sidecar;
   Call call;
   call.host = "shop.example";
@@ -122,128 +126,131 @@
 }
 
 TEST_CASE_METHOD(TenantFixture, "a request of a tenant with a limit waits for a token", "[tenant]") {
-  takeQuestions();
-  const auto id = ask("bound-key");
+  takeQuotaRequests();
+  const auto id = sendCall("bound-key");
   CHECK(target.orders.empty());
-  const auto questions = takeQuestions();
-  REQUIRE(questions.size() == 1);
-  CHECK(questions.front().needs.front()->need == 1);
-  grant(questions.front(), 1);
+  const auto quota_requests = takeQuotaRequests();
+  REQUIRE(quota_requests.size() == 1);
+  CHECK(quota_requests.front().needs.front()->need == 1);
+  grant(quota_requests.front(), 1);
   CHECK(target.orders.size() == 1);
-  CHECK(isOpen(id));
+  CHECK(isPending(id));
 }
 
-TEST_CASE_METHOD(TenantFixture, "a request that comes while one asks is asked for after that", "[tenant]") {
-  takeQuestions();
-  ask("bound-key");
-  ask("bound-key");
-  const auto first = takeQuestions();
+TEST_CASE_METHOD(TenantFixture,
+                 "tokens for a request that arrives during a token request are requested after the grant",
+                 "[tenant]") {
+  takeQuotaRequests();
+  sendCall("bound-key");
+  sendCall("bound-key");
+  const auto first = takeQuotaRequests();
   REQUIRE(first.size() == 1);
   grant(first.front(), 1);
   CHECK(target.orders.size() == 1);
-  const auto second = takeQuestions();
+  const auto second = takeQuotaRequests();
   REQUIRE(second.size() == 1);
   CHECK(second.front().acknowledged == first.front().sequence);
   grant(second.front(), 1);
   CHECK(target.orders.size() == 2);
 }
 
-TEST_CASE_METHOD(TenantFixture, "without a token a request is refused, not run, with a time to come back",
+TEST_CASE_METHOD(TenantFixture, "a request that gets no token is refused with a retry delay and not run",
                  "[tenant]") {
-  takeQuestions();
-  const auto id = ask("bound-key");
-  grant(takeQuestions().front(), 0, 700);
+  takeQuotaRequests();
+  const auto id = sendCall("bound-key");
+  grant(takeQuotaRequests().front(), 0, 700);
   REQUIRE(outcomeOf(id) == CallOutcome::OverQuota);
   CHECK(callers.answers.at(id).retry_after >= milliseconds(700));
   CHECK(callers.answers.at(id).retry_after <= milliseconds(1'400));
-  // The next one need not ask again.
-  CHECK(outcomeOf(ask("bound-key")) == CallOutcome::OverQuota);
+  // The next request is refused without another request to the leader.
+  CHECK(outcomeOf(sendCall("bound-key")) == CallOutcome::OverQuota);
   CHECK(target.orders.empty());
 }
 
-TEST_CASE_METHOD(TenantFixture, "tokens are void after their time", "[tenant]") {
-  takeQuestions();
-  ask("bound-key");
-  grant(takeQuestions().front(), 3);
+TEST_CASE_METHOD(TenantFixture, "tokens expire after their validity", "[tenant]") {
+  takeQuotaRequests();
+  sendCall("bound-key");
+  grant(takeQuotaRequests().front(), 3);
   REQUIRE(target.orders.size() == 1);
   now += milliseconds(1'999);
-  ask("bound-key");
+  sendCall("bound-key");
   CHECK(target.orders.size() == 2);
   now += milliseconds(1);
-  const auto id = ask("bound-key");
+  const auto id = sendCall("bound-key");
   CHECK(target.orders.size() == 2);
-  CHECK(isOpen(id));
+  CHECK(isPending(id));
 }
 
-TEST_CASE_METHOD(TenantFixture, "a token whose request has not run serves another one", "[tenant]") {
-  takeQuestions();
-  ask("bound-key");
-  grant(takeQuestions().front(), 1);
+TEST_CASE_METHOD(TenantFixture, "a token whose request has not run is used for another request", "[tenant]") {
+  takeQuotaRequests();
+  sendCall("bound-key");
+  grant(takeQuotaRequests().front(), 1);
   REQUIRE(target.orders.size() == 1);
   RunResult result;
   result.reply.outcome = wire::ForwardOutcome::NotRun;
   result.reply.reason = wire::NotRunReason::Full;
   core.onRunResult(target.orders.front().id, result, now);
   step();
-  ask("bound-key");
+  sendCall("bound-key");
   CHECK(target.orders.size() == 2);
 }
 
-TEST_CASE_METHOD(TenantFixture, "while no leader answers, few requests wait and none runs", "[tenant]") {
-  takeQuestions();
-  const auto first = ask("bound-key");
-  CHECK(isOpen(first));
-  pass(TenantQuota::kMostWait);
+TEST_CASE_METHOD(TenantFixture, "while no leader answers, few requests wait for tokens and none runs",
+                 "[tenant]") {
+  takeQuotaRequests();
+  const auto first = sendCall("bound-key");
+  CHECK(isPending(first));
+  pass(TenantQuota::kMaxTokenWait);
   CHECK(outcomeOf(first) == CallOutcome::OverQuota);
   pass(milliseconds(300));
   std::size_t refused_at_once = 0;
   for (int i = 0; i < 20; ++i) {
-    if (!isOpen(ask("bound-key"))) ++refused_at_once;
+    if (!isPending(sendCall("bound-key"))) ++refused_at_once;
   }
   CHECK(refused_at_once >= 15);
   CHECK(target.orders.empty());
 }
 
-TEST_CASE_METHOD(TenantFixture, "a store that does not lead names the leader, which is asked next",
+TEST_CASE_METHOD(TenantFixture,
+                 "a token request to a store that is not the leader is repeated to the leader that it names",
                  "[tenant]") {
   tellStores({{kStore, "zone-a"}, {kOtherPeer, "zone-b"}});
-  takeQuestions();
-  ask("bound-key");
-  const auto question = takeQuestions().front();
-  wire::QuotaGrantT answer;
-  answer.sequence = question.sequence;
-  answer.leader = std::make_shared<wire::NetworkEndpointT>();
-  answer.leader->host = kOtherPeer.host;
-  answer.leader->port = kOtherPeer.port;
-  say(kStore, answer);
+  takeQuotaRequests();
+  sendCall("bound-key");
+  const auto quota_request = takeQuotaRequests().front();
+  wire::QuotaGrantT store_reply;
+  store_reply.sequence = quota_request.sequence;
+  store_reply.leader = std::make_shared<wire::NetworkEndpointT>();
+  store_reply.leader->host = kOtherPeer.host;
+  store_reply.leader->port = kOtherPeer.port;
+  say(kStore, store_reply);
   pass(milliseconds(20));
   const auto link = links.at(kOtherPeer);
-  const auto asked = std::any_of(sent.begin(), sent.end(), [link](const auto& item) {
+  const auto is_requested = std::any_of(sent.begin(), sent.end(), [link](const auto& item) {
     return item.link == link && item.message->body.AsQuotaRequest() != nullptr;
   });
-  CHECK(asked);
+  CHECK(is_requested);
 }
 
-TEST_CASE_METHOD(TenantFixture, "a caller that leaves while it waits takes no token", "[tenant]") {
-  takeQuestions();
-  const auto id = ask("bound-key");
-  const auto question = takeQuestions().front();
+TEST_CASE_METHOD(TenantFixture, "a caller that disconnects while waiting for a token uses none", "[tenant]") {
+  takeQuotaRequests();
+  const auto id = sendCall("bound-key");
+  const auto quota_request = takeQuotaRequests().front();
   core.onCallerGone(id, now);
-  grant(question, 1);
+  grant(quota_request, 1);
   CHECK(target.orders.empty());
-  ask("bound-key");
+  sendCall("bound-key");
   CHECK(target.orders.size() == 1);
 }
 
-TEST_CASE_METHOD(TenantFixture, "the more urgent tenant's request goes first, whatever the routes are",
-                 "[tenant]") {
+TEST_CASE_METHOD(TenantFixture, "the tenant's priority takes precedence over the route's", "[tenant]") {
   auto configuration = makeTenantConfiguration();
   configuration.tenants.front()->priority = 0;
   configuration.tenants.back()->requests_per_second = 0;
   configure(2, configuration);
-  ask("bound-key", "/write/x");
-  ask("free-key", "/read/x");
-  ask(std::nullopt, "/open/x");
+  sendCall("bound-key", "/write/x");
+  sendCall("free-key", "/read/x");
+  sendCall(std::nullopt, "/open/x");
   REQUIRE(target.orders.size() == 3);
   CHECK(target.orders[1].request->priority < target.orders[0].request->priority);
   CHECK(target.orders[2].request->priority < target.orders[1].request->priority);
