--- a/tests/sidecar/outbound_calls_test.cpp
+++ b/tests/sidecar/outbound_calls_test.cpp
@@ -5,14 +5,14 @@
 using std::chrono::seconds;
 using wire::ForwardOutcome;
 
-TEST_CASE("a caller is refused as not run before any configuration is known") {
+TEST_CASE("a request is answered as not run before there is a configuration") {
   SidecarFixture sidecar;
   const auto id = sidecar.call("/read/1");
   CHECK(sidecar.callers.answers.at(id).outcome == CallOutcome::NotRun);
   CHECK_FALSE(sidecar.core.ready());
 }
 
-TEST_CASE("a request without a route is refused, one with a route goes to an endpoint of its service") {
+TEST_CASE("a request without a route is refused, one with a route is sent to an endpoint of its service") {
   SidecarFixture sidecar;
   sidecar.configure();
   sidecar.addPeer(SidecarFixture::kPeer);
@@ -25,7 +25,7 @@
   CHECK(sidecar.callers.answers.at(id).outcome == CallOutcome::Answered);
 }
 
-TEST_CASE("a request that may have run is sent again only if it may be repeated") {
+TEST_CASE("a request that may have run is retried only if its route is repeatable") {
   SidecarFixture sidecar;
   sidecar.configure();
   sidecar.addPeer(SidecarFixture::kPeer);
@@ -40,18 +40,18 @@
   }
   REQUIRE(numbers.size() == 1);
   sidecar.reply(at, numbers[0], ForwardOutcome::Unknown);
-  const auto again =
+  const auto retried =
       sidecar.forwardsTo(at == SidecarFixture::kPeer ? SidecarFixture::kOtherPeer : SidecarFixture::kPeer);
   if (path == "/read/1") {
-    CHECK(again.size() == 1);
+    CHECK(retried.size() == 1);
     CHECK_FALSE(sidecar.callers.answers.contains(id));
   } else {
-    CHECK(again.empty());
+    CHECK(retried.empty());
     CHECK(sidecar.callers.answers.at(id).outcome == CallOutcome::Failed);
   }
 }
 
-TEST_CASE("a refused request goes to another endpoint, also if it may not be repeated, and then is not run") {
+TEST_CASE("a refused request is retried even if not repeatable, and then answered as not run") {
   SidecarFixture sidecar;
   sidecar.configure();
   sidecar.addPeer(SidecarFixture::kPeer);
@@ -67,7 +67,7 @@
   CHECK(sidecar.callers.answers.at(id).retry_after > Duration::zero());
 }
 
-TEST_CASE("a request whose endpoint says nothing is answered at its deadline and recalled") {
+TEST_CASE("a request whose endpoint does not reply is answered and cancelled at its deadline") {
   SidecarFixture sidecar;
   sidecar.configure();
   sidecar.addPeer(SidecarFixture::kPeer);
@@ -82,7 +82,7 @@
   CHECK(cancels == 1);
 }
 
-TEST_CASE("a caller who leaves takes the request back") {
+TEST_CASE("a request whose caller disconnects is dropped without an answer") {
   SidecarFixture sidecar;
   sidecar.configure();
   sidecar.addPeer(SidecarFixture::kPeer);
@@ -93,34 +93,35 @@
   CHECK(sidecar.callers.answers.empty());
 }
 
-// wn-mesh, hunt 869210ec, trouble-3 with seed 858760681307: requests that were taken 5.6 s after the stop
-// began were given up at its end.
-TEST_CASE("late in a planned stop only requests are taken that can be answered before its end") {
+// Guards against requests that were accepted 5.6 s after the start of a planned stop and were still
+// unanswered at its end.
+TEST_CASE("late in a planned stop only requests that can be answered before its end are accepted") {
   SidecarFixture sidecar;
   sidecar.configure();
   sidecar.addPeer(SidecarFixture::kPeer);
   sidecar.core.beginStop(sidecar.now);
   sidecar.step();
   CHECK_FALSE(sidecar.core.ready());
-  const auto early = sidecar.call("/read/1", seconds(1));
-  CHECK_FALSE(sidecar.callers.answers.contains(early));
+  const auto early_call = sidecar.call("/read/1", seconds(1));
+  CHECK_FALSE(sidecar.callers.answers.contains(early_call));
   for (const auto number : sidecar.forwardsTo(SidecarFixture::kPeer)) {
     sidecar.reply(SidecarFixture::kPeer, number, ForwardOutcome::Answered);
   }
-  // One request is always on its way, so that the sidecar does not end before.
+  // Keeps one request in flight, so that the sidecar does not complete the stop early.
   for (int i = 0; i < 6; ++i) {
     sidecar.call("/read/1", seconds(1));
     sidecar.pass(milliseconds(900));
   }
   REQUIRE_FALSE(sidecar.core.stopped());
-  const auto late = sidecar.call("/read/1", seconds(1));
-  REQUIRE(sidecar.callers.answers.contains(late));
-  CHECK(sidecar.callers.answers.at(late).outcome == CallOutcome::NotRun);
-  const auto short_one = sidecar.call("/read/1", milliseconds(200));
-  CHECK_FALSE(sidecar.callers.answers.contains(short_one));
+  const auto late_call = sidecar.call("/read/1", seconds(1));
+  REQUIRE(sidecar.callers.answers.contains(late_call));
+  CHECK(sidecar.callers.answers.at(late_call).outcome == CallOutcome::NotRun);
+  const auto short_call = sidecar.call("/read/1", milliseconds(200));
+  CHECK_FALSE(sidecar.callers.answers.contains(short_call));
 }
 
-TEST_CASE("in a planned stop a request is refused at once if its answer usually comes after the end") {
+TEST_CASE(
+    "in a planned stop a request is refused at once if its answer is expected after the end of the stop") {
   SidecarFixture sidecar;
   auto configuration = SidecarFixture::makeConfiguration();
   for (auto& route : configuration.routes) route->timeout_ms = 20'000;
@@ -139,14 +140,14 @@
   const auto slow = sidecar.call("/read/1");
   REQUIRE(sidecar.callers.answers.contains(slow));
   CHECK(sidecar.callers.answers.at(slow).outcome == CallOutcome::NotRun);
-  // The process that follows is not up before.
+  // The successor process needs a second to start.
   CHECK(sidecar.callers.answers.at(slow).retry_after >= seconds(1));
   CHECK_FALSE(sidecar.callers.answers.contains(sidecar.call("/write/1")));
-  // Who leaves before the end loses nothing.
+  // A request whose deadline is before the end of the stop is accepted.
   CHECK_FALSE(sidecar.callers.answers.contains(sidecar.call("/read/1", seconds(3))));
 }
 
-TEST_CASE("once a planned stop ends, all that still comes is refused as not run") {
+TEST_CASE("after the end of a planned stop all requests are refused as not run") {
   SidecarFixture sidecar;
   sidecar.configure();
   sidecar.addPeer(SidecarFixture::kPeer);
@@ -155,35 +156,35 @@
   REQUIRE(sidecar.core.stopped());
   const auto last = sidecar.call("/read/1", milliseconds(200));
   CHECK_FALSE(sidecar.callers.answers.contains(last));
-  // It is taken, so the process may not end.
+  // The request is accepted, so the process must not exit yet.
   CHECK_FALSE(sidecar.core.stopped());
   sidecar.reply(SidecarFixture::kPeer, sidecar.forwardsTo(SidecarFixture::kPeer).at(0),
                 ForwardOutcome::Answered);
   REQUIRE(sidecar.core.stopped());
   sidecar.core.onStopEnding(sidecar.now);
-  const auto too_late = sidecar.call("/read/1", milliseconds(200));
-  REQUIRE(sidecar.callers.answers.contains(too_late));
-  CHECK(sidecar.callers.answers.at(too_late).outcome == CallOutcome::NotRun);
+  const auto refused_call = sidecar.call("/read/1", milliseconds(200));
+  REQUIRE(sidecar.callers.answers.contains(refused_call));
+  CHECK(sidecar.callers.answers.at(refused_call).outcome == CallOutcome::NotRun);
 }
 
 TEST_CASE(
-    "the more requests are refused, the later callers are told to come back, within what they have left") {
+    "the retry delay grows with the share of refused requests, up to a part of the caller's remaining time") {
   SidecarFixture sidecar;
   sidecar.configure();
-  const auto refused_for = [&sidecar](Duration deadline) {
+  const auto retryDelayFor = [&sidecar](Duration deadline) {
     return sidecar.callers.answers.at(sidecar.call("/read/1", deadline)).retry_after;
   };
-  const Duration first = refused_for(seconds(3));
-  CHECK(first > Duration::zero());
-  CHECK(first <= milliseconds(160));
-  Duration longest = Duration::zero();
-  for (int i = 0; i < 100; ++i) longest = std::max(longest, refused_for(seconds(3)));
-  CHECK(longest > milliseconds(700));
-  // A caller waits for a third of its time at most; the least wait is 80 ms.
-  CHECK(longest <= milliseconds(1'080));
-  Duration longest_of_short = Duration::zero();
-  for (int i = 0; i < 100; ++i) longest_of_short = std::max(longest_of_short, refused_for(milliseconds(300)));
-  CHECK(longest_of_short <= milliseconds(180));
+  const Duration first_delay = retryDelayFor(seconds(3));
+  CHECK(first_delay > Duration::zero());
+  CHECK(first_delay <= milliseconds(160));
+  Duration max_delay = Duration::zero();
+  for (int i = 0; i < 100; ++i) max_delay = std::max(max_delay, retryDelayFor(seconds(3)));
+  CHECK(max_delay > milliseconds(700));
+  // The delay is limited by a third of the caller's deadline plus the shortest delay of 80 ms.
+  CHECK(max_delay <= milliseconds(1'080));
+  Duration max_short_delay = Duration::zero();
+  for (int i = 0; i < 100; ++i) max_short_delay = std::max(max_short_delay, retryDelayFor(milliseconds(300)));
+  CHECK(max_short_delay <= milliseconds(180));
 }
 
 }  // namespace cometstand::sidecar::test
--- a/tests/sidecar/residency_test.cpp
+++ b/tests/sidecar/residency_test.cpp
@@ -1,4 +1,5 @@
-// Requests kept to regions: every way out of a sidecar, and the gate of one that knows a newer configuration.
+// Tests that requests restricted to regions leave a sidecar only to endpoints there, and that a receiving
+// sidecar with a newer configuration refuses requests from outside.
 #include "tests/sidecar/sidecar_fixture.h"
 
 namespace cometstand::sidecar::test {
@@ -17,13 +18,13 @@
   return options;
 }
 
-wire::MeshConfigurationT keptTo(const std::vector<std::string>& regions) {
+wire::MeshConfigurationT makeRestrictedConfiguration(const std::vector<std::string>& regions) {
   auto configuration = SidecarFixture::makeConfiguration();
   for (auto& route : configuration.routes) route->regions = regions;
   return configuration;
 }
 
-/// A sidecar in the east, with a peer in the east and one in the west.
+/// A sidecar in region "east", with a peer in "east" and one in "west".
 class ResidencyFixture : public SidecarFixture {
  public:
   static inline const runtime::Address kEast = kPeer;
@@ -32,7 +33,7 @@
   ResidencyFixture() : SidecarFixture(makeRegionOptions()) {}
 
   void begin(const std::vector<std::string>& regions) {
-    configure(1, keptTo(regions));
+    configure(1, makeRestrictedConfiguration(regions));
     addPeer(kEast, wire::EndpointState::Live, "shop", "east-a");
     addPeer(kWest, wire::EndpointState::Live, "shop", "west-a");
   }
@@ -71,15 +72,15 @@
     say(from, grant, number);
   }
 
-  /// Opens a link to this sidecar as another one does. @return the link.
-  runtime::LinkId openAsker() {
+  /// Opens an incoming link from another sidecar. @return the link.
+  runtime::LinkId openPeerLink() {
     const runtime::LinkId link{runtime::kFirstIncomingLink};
     core.onLinkOpened(link, {}, now);
     step();
     return link;
   }
 
-  /// @return what the sidecar answered the asker's request; nullptr if it did not yet.
+  /// @return the sidecar's reply to another sidecar's request; nullptr if there is none yet.
   const wire::ForwardReplyT* replyTo(std::uint64_t number) const {
     for (const auto& message : sent) {
       const auto* reply = message.message->body.AsForwardReply();
@@ -103,7 +104,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(ResidencyFixture, "a refused or failed request is not sent again outside its regions") {
+TEST_CASE_METHOD(ResidencyFixture, "a refused or failed request is not retried outside its regions") {
   begin({"east"});
   for (const auto outcome : {ForwardOutcome::NotRun, ForwardOutcome::Unknown}) {
     const auto id = call("/read/1");
@@ -125,69 +126,73 @@
   CHECK(forwardsTo(kWest).empty());
 }
 
-TEST_CASE_METHOD(ResidencyFixture, "a region that nobody knows beside one with endpoints is passed over") {
+TEST_CASE_METHOD(ResidencyFixture,
+                 "an allowed region without endpoints is ignored if another one has endpoints") {
   begin({"north", "west"});
   call("/read/1");
   CHECK(forwardsTo(kWest).size() == 1);
   CHECK(forwardsTo(kEast).empty());
 }
 
-TEST_CASE_METHOD(ResidencyFixture, "a request under way keeps to the regions of the newest configuration") {
+TEST_CASE_METHOD(ResidencyFixture, "a request in flight keeps to the regions of the latest configuration") {
   begin({});
   const auto id = call("/read/1");
   const auto numbers = forwardsTo(kEast);
   REQUIRE(numbers.size() == 1);
-  configure(2, keptTo({"east"}));
+  configure(2, makeRestrictedConfiguration({"east"}));
   reply(kEast, numbers[0], ForwardOutcome::NotRun);
   CHECK(forwardsTo(kWest).empty());
   CHECK(isNotRun(id));
 }
 
-TEST_CASE_METHOD(ResidencyFixture, "a request under way also keeps to the regions that it came with") {
+TEST_CASE_METHOD(ResidencyFixture,
+                 "a request in flight also keeps to the regions that were allowed when it arrived") {
   begin({"east"});
   const auto id = call("/read/1");
   const auto numbers = forwardsTo(kEast);
   REQUIRE(numbers.size() == 1);
-  configure(2, keptTo({}));
+  configure(2, makeRestrictedConfiguration({}));
   reply(kEast, numbers[0], ForwardOutcome::NotRun);
   CHECK(forwardsTo(kWest).empty());
   CHECK(isNotRun(id));
 }
 
-TEST_CASE_METHOD(ResidencyFixture, "no more of a body goes to a region that is not allowed any more") {
+TEST_CASE_METHOD(ResidencyFixture, "no further body bytes are sent to a region that is no longer allowed") {
   begin({"west"});
   const auto id = upload();
   const auto numbers = forwardsTo(kWest);
   REQUIRE(numbers.size() == 1);
   grant(kWest, numbers[0]);
   CHECK(bodyBytesTo(kWest) == 10'000);
-  configure(2, keptTo({"east"}));
+  configure(2, makeRestrictedConfiguration({"east"}));
   grant(kWest, numbers[0]);
   CHECK(bodyBytesTo(kWest) == 10'000);
   CHECK(forwardsTo(kEast).empty());
   CHECK(isNotRun(id));
 }
 
-TEST_CASE_METHOD(ResidencyFixture, "a body goes elsewhere if its regions allow that after the change") {
+TEST_CASE_METHOD(ResidencyFixture,
+                 "a body is sent to another region if the changed configuration allows that") {
   begin({});
   upload();
   const auto numbers = forwardsTo(kEast);
   REQUIRE(numbers.size() == 1);
-  configure(2, keptTo({"west"}));
+  configure(2, makeRestrictedConfiguration({"west"}));
   grant(kEast, numbers[0]);
   CHECK(bodyBytesTo(kEast) == 0);
   CHECK(forwardsTo(kWest).size() == 1);
 }
 
-TEST_CASE_METHOD(ResidencyFixture, "a gate refuses what its newest configuration keeps to other regions") {
+TEST_CASE_METHOD(ResidencyFixture,
+                 "a gate refuses requests that its latest configuration restricts to other regions") {
   begin({});
   core.onHeartbeat(makeBeat("own", 1), now);
   step();
-  const auto link = openAsker();
+  const auto link = openPeerLink();
   core.onMessage(link, runtime::makeEnvelope(makeForward("read"), 1), now);
   step();
   CHECK(target.orders.size() == 1);
-  configure(2, keptTo({"west"}));
+  configure(2, makeRestrictedConfiguration({"west"}));
   auto announced = makeForward("write");
   announced.announced_bytes = kLargeBody;
   core.onMessage(link, runtime::makeEnvelope(makeForward("read"), 2), now);
@@ -203,16 +208,16 @@
 }
 
 TEST_CASE_METHOD(ResidencyFixture,
-                 "what waits at a gate when its regions change is refused in place of run") {
+                 "a request in a gate's queue is refused instead of run after its regions changed") {
   begin({});
   core.onHeartbeat(makeBeat("own", 1), now);
-  const auto link = openAsker();
+  const auto link = openPeerLink();
   for (const std::uint64_t number : {1, 2, 3}) {
     core.onMessage(link, runtime::makeEnvelope(makeForward("read"), number), now);
   }
   step();
   REQUIRE(target.orders.size() == 2);
-  configure(2, keptTo({"west"}));
+  configure(2, makeRestrictedConfiguration({"west"}));
   RunResult result;
   result.reply.outcome = ForwardOutcome::Answered;
   core.onRunResult(target.orders[0].id, result, now);
@@ -222,31 +227,32 @@
   CHECK(replyTo(3)->outcome == ForwardOutcome::NotRun);
 }
 
-TEST_CASE_METHOD(ResidencyFixture, "gates are told the route where regions matter") {
+TEST_CASE_METHOD(ResidencyFixture,
+                 "a forwarded request names its route if regions restrict it or if it crosses regions") {
   const std::vector<std::string> regions = GENERATE(
       std::vector<std::string>{}, std::vector<std::string>{"east"}, std::vector<std::string>{"west"});
   begin(regions);
   if (!regions.empty()) {
     call("/read/1");
   } else {
-    // Refused in the own region, it goes to the other one.
+    // Refused in the own region, the request is sent to the other one.
     call("/read/1");
     const auto numbers = forwardsTo(kEast);
     REQUIRE(numbers.size() == 1);
     reply(kEast, numbers[0], ForwardOutcome::NotRun);
   }
-  std::size_t named = 0;
+  std::size_t requests_with_route = 0;
   for (const auto& message : sent) {
     const auto* request = message.message->body.AsForwardRequest();
-    if (request != nullptr && request->route == "read") ++named;
+    if (request != nullptr && request->route == "read") ++requests_with_route;
   }
-  CHECK(named == 1);
+  CHECK(requests_with_route == 1);
 }
 
-TEST_CASE_METHOD(ResidencyFixture, "a reply tells how long its request was at the endpoint's node") {
+TEST_CASE_METHOD(ResidencyFixture, "a reply has the time that its request spent at the endpoint's node") {
   begin({});
   core.onHeartbeat(makeBeat("own", 1), now);
-  const auto link = openAsker();
+  const auto link = openPeerLink();
   core.onMessage(link, runtime::makeEnvelope(makeForward(""), 1), now);
   step();
   REQUIRE(target.orders.size() == 1);
@@ -258,7 +264,8 @@
   CHECK(replyTo(1)->at_endpoint_ms == 70);
 }
 
-TEST_CASE_METHOD(ResidencyFixture, "configurations come from a store of the own region before another one") {
+TEST_CASE_METHOD(ResidencyFixture,
+                 "a sidecar subscribes to a store of the own region rather than to one elsewhere") {
   const runtime::Address west_store{"10.0.0.8", 7000};
   const runtime::Address east_store{"10.0.0.7", 7000};
   const auto beat = tellStores({{kStore, "west-a"}, {west_store, "west-a"}, {east_store, "east-b"}});
--- a/tests/sidecar/traffic_split_test.cpp
+++ b/tests/sidecar/traffic_split_test.cpp
@@ -1,4 +1,4 @@
-// Routes whose requests are shared among services by weight.
+// Tests routes that split their requests among services by weight.
 #include <cmath>
 
 #include "tests/sidecar/sidecar_fixture.h"
@@ -9,7 +9,7 @@
 using std::chrono::seconds;
 using wire::ForwardOutcome;
 
-/// The route "read" goes to "shop" and "other" alike; the first peer is of "shop", the second of "other".
+/// The route "read" is split equally between "shop" and "other"; kPeer serves "shop" and kOtherPeer "other".
 class SplitFixture : public SidecarFixture {
  public:
   SplitFixture() {
@@ -26,18 +26,20 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(SplitFixture, "what one part of a split cannot take is refused, not moved to another part",
-                 "[sidecar]") {
+TEST_CASE_METHOD(
+    SplitFixture,
+    "a request that one service of a split refuses is answered as not run, not moved to another service",
+    "[sidecar]") {
   constexpr int kCalls = 100;
   int moved = 0;
   int refused = 0;
   for (int i = 0; i < kCalls; ++i) {
     const auto id = call("/read/1", seconds(1));
-    const auto to_full_part = forwardsTo(kPeer);
-    for (const auto number : to_full_part) reply(kPeer, number, ForwardOutcome::NotRun);
-    const auto to_other_part = forwardsTo(kOtherPeer);
-    if (!to_full_part.empty() && !to_other_part.empty()) ++moved;
-    for (const auto number : to_other_part) reply(kOtherPeer, number, ForwardOutcome::Answered);
+    const auto to_full_service = forwardsTo(kPeer);
+    for (const auto number : to_full_service) reply(kPeer, number, ForwardOutcome::NotRun);
+    const auto to_other_service = forwardsTo(kOtherPeer);
+    if (!to_full_service.empty() && !to_other_service.empty()) ++moved;
+    for (const auto number : to_other_service) reply(kOtherPeer, number, ForwardOutcome::Answered);
     REQUIRE(callers.answers.contains(id));
     if (callers.answers.at(id).outcome == CallOutcome::NotRun) ++refused;
   }
@@ -46,7 +48,8 @@
   CHECK(refused < kCalls * 2 / 3);
 }
 
-TEST_CASE("many senders with a few requests each keep to the weights of a split together", "[sidecar]") {
+TEST_CASE("the requests of many senders with a few requests each are split together by the weights",
+          "[sidecar]") {
   const auto weight = GENERATE(10U, 25U, 50U, 90U);
   wire::MeshRouteT route;
   for (const auto& [service, share_weight] : {std::pair{"shop", weight}, std::pair{"other", 100 - weight}}) {
@@ -57,17 +60,17 @@
   }
   constexpr unsigned kSenders = 100;
   constexpr unsigned kRequestsEach = 3;
-  constexpr double kAllowed = 0.1;
-  constexpr std::uint64_t kFleets = 50;
-  for (std::uint64_t fleet = 0; fleet < kFleets; ++fleet) {
-    unsigned drawn = 0;
+  constexpr double kTolerance = 0.1;
+  constexpr std::uint64_t kSenderGroups = 50;
+  for (std::uint64_t sender_group = 0; sender_group < kSenderGroups; ++sender_group) {
+    unsigned shop_count = 0;
     for (std::uint64_t sender = 0; sender < kSenders; ++sender) {
-      RandomSource random(fleet * kSenders + sender);
+      RandomSource random(sender_group * kSenders + sender);
       for (unsigned i = 0; i < kRequestsEach; ++i)
-        drawn += mesh::drawService(route, random) == "shop" ? 1 : 0;
+        shop_count += mesh::drawService(route, random) == "shop" ? 1 : 0;
     }
-    const double share = static_cast<double>(drawn) / (kSenders * kRequestsEach);
-    CHECK(std::abs(share - weight / 100.0) <= kAllowed);
+    const double share = static_cast<double>(shop_count) / (kSenders * kRequestsEach);
+    CHECK(std::abs(share - weight / 100.0) <= kTolerance);
   }
 }
 
