--- a/tests/regions/region_mesh.cpp
+++ b/tests/regions/region_mesh.cpp
@@ -10,12 +10,12 @@
 
 constexpr std::size_t kStores = 3;
 constexpr unsigned kSlots = 6;
-constexpr Duration kHeartbeat = milliseconds(1'500);
+constexpr Duration kHeartbeatInterval = milliseconds(1'500);
 constexpr Duration kRunTime = milliseconds(100);
-constexpr Duration kBetweenRegions = milliseconds(30);
-/// After this time the kernel ends a link whose bytes are not acknowledged.
-constexpr Duration kDeadLink = seconds(2);
-constexpr std::size_t kSmallAnswer = 400;
+constexpr Duration kCrossRegionLatency = milliseconds(30);
+/// Time after which the kernel closes a connection with unacknowledged bytes.
+constexpr Duration kConnectionTimeout = seconds(2);
+constexpr std::size_t kSmallAnswerBytes = 400;
 constexpr std::size_t kFrameBytes = 300;
 
 Duration durationOf(double seconds) {
@@ -33,15 +33,15 @@
 RegionMesh::RegionMesh(MeshSetup setup)
     : setup_(std::move(setup)), random_(setup_.seed), stores_(network, random_, kStores) {
   network.setWay([this](ProcessId from, ProcessId to, const wire::EnvelopeT& message) {
-    return wayOf(from, to, message);
+    return latencyOf(from, to, message);
   });
-  keepTo(setup_.kept_to);
-  for (std::size_t i = 0; i < kSidecarsOfRegion; ++i) {
+  restrictTo(setup_.restricted_regions);
+  for (std::size_t i = 0; i < kSidecarsPerRegion; ++i) {
     addMachine("east");
     addMachine("west");
   }
   network.runFor(seconds(6));
-  beginCounting();
+  resetCounters();
 }
 
 wire::MeshConfigurationT RegionMesh::makeConfiguration() const {
@@ -60,7 +60,7 @@
     share->service = "desk";
     share->weight = 1;
     route->shares.push_back(share);
-    if (route->name == "kept") route->regions = setup_.kept_to;
+    if (route->name == "kept") route->regions = setup_.restricted_regions;
     configuration.routes.push_back(route);
   }
   auto service = std::make_shared<wire::MeshServiceT>();
@@ -69,8 +69,8 @@
   return configuration;
 }
 
-void RegionMesh::keepTo(std::vector<std::string> regions) {
-  setup_.kept_to = std::move(regions);
+void RegionMesh::restrictTo(std::vector<std::string> regions) {
+  setup_.restricted_regions = std::move(regions);
   stores_.configure(makeConfiguration(), revision_);
   ++revision_;
 }
@@ -84,7 +84,7 @@
   options.node = machine.name;
   options.zone = region + "-a";
   options.zones = mesh::ZoneMap({"east-a=east", "west-a=west"});
-  options.region_link_bandwidth = setup_.known_link;
+  options.region_link_bandwidth = setup_.configured_link_bandwidth;
   options.service = "desk";
   options.advertise = rollout::test::addressOf(100 + machines_.size());
   options.seeds = stores_.seeds();
@@ -93,11 +93,11 @@
   });
   regions_[machine.id] = region;
   network.start(machine.id);
-  keepBeating(machine);
-  keepCalling(machine);
+  scheduleHeartbeats(machine);
+  scheduleCalls(machine);
 }
 
-void RegionMesh::keepBeating(Machine& machine) {
+void RegionMesh::scheduleHeartbeats(Machine& machine) {
   network.call(machine.id, [&] {
     sidecar::Heartbeat heartbeat;
     heartbeat.incarnation.id = machine.name;
@@ -107,16 +107,16 @@
     heartbeat.sequence = ++machine.sequence;
     sidecarOf(machine).onHeartbeat(heartbeat, network.now());
   });
-  network.at(network.now() + kHeartbeat, [this, &machine] { keepBeating(machine); });
+  network.at(network.now() + kHeartbeatInterval, [this, &machine] { scheduleHeartbeats(machine); });
 }
 
 std::string RegionMesh::drawRoute() {
   const auto drawn = random_.uniform(0, 9);
   if (drawn < 2) return "large";
-  return drawn < 4 && !setup_.kept_to.empty() ? "kept" : "read";
+  return drawn < 4 && !setup_.restricted_regions.empty() ? "kept" : "read";
 }
 
-void RegionMesh::keepCalling(Machine& machine) {
+void RegionMesh::scheduleCalls(Machine& machine) {
   const Duration mean = durationOf(1 / setup_.calls_per_second.at(machine.region));
   network.at(network.now() + random_.uniform(Duration::zero(), 2 * mean), [this, &machine] {
     network.call(machine.id, [&] {
@@ -130,7 +130,7 @@
       call.request.request_id = std::to_string(next_call_);
       sidecarOf(machine).onCall(id, std::move(call), network.now());
     });
-    keepCalling(machine);
+    scheduleCalls(machine);
   });
 }
 
@@ -138,11 +138,11 @@
   running.insert(order.id);
   const bool is_large = order.request->target.starts_with("/large/");
   if (order.request->target.starts_with("/kept/")) {
-    ++mesh->kept_runs[region];
-    // A gate that starts has no configuration yet, and goes by what senders choose.
+    ++mesh->restricted_runs[region];
+    // A sidecar that has just started has no configuration yet and accepts the senders' choice of region.
     const auto& routes = mesh->sidecarOf(*this).routes();
     const auto route = routes == nullptr ? nullptr : routes->findByName("kept");
-    if (route != nullptr && !mesh::isAllowedRegion(route->regions, region)) ++mesh->kept_wrong;
+    if (route != nullptr && !mesh::isAllowedRegion(route->regions, region)) ++mesh->disallowed_runs;
   }
   const Duration time = mesh->random_.uniform(kRunTime / 2, kRunTime * 3 / 2);
   mesh->network.at(mesh->network.now() + time, [this, run = order.id, is_large] {
@@ -151,34 +151,34 @@
       sidecar::RunResult result;
       result.reply.outcome = wire::ForwardOutcome::Answered;
       result.reply.status = 200;
-      result.reply.body.resize(is_large ? mesh->setup_.large_answer : kSmallAnswer);
+      result.reply.body.resize(is_large ? mesh->setup_.large_answer_bytes : kSmallAnswerBytes);
       mesh->sidecarOf(*this).onRunResult(run, std::move(result), mesh->network.now());
     });
   });
 }
 
 void RegionMesh::Machine::answer(sidecar::CallId call, sidecar::CallAnswer answer) {
-  auto& served = mesh->served_[{region, calls.at(call)}];
+  auto& outcomes = mesh->outcomes_[{region, calls.at(call)}];
   calls.erase(call);
   if (answer.outcome == sidecar::CallOutcome::Answered) {
-    ++served.answered;
+    ++outcomes.answered;
   } else if (answer.outcome == sidecar::CallOutcome::NotRun) {
-    ++served.not_run;
+    ++outcomes.not_run;
   } else {
-    ++served.other;
+    ++outcomes.other;
   }
 }
 
-void RegionMesh::setCut(bool is_cut) {
-  is_cut_ = is_cut;
-  if (is_cut) {
-    network.at(network.now() + kDeadLink, [this] { resetBetween(); });
+void RegionMesh::setPartitioned(bool is_partitioned) {
+  is_partitioned_ = is_partitioned;
+  if (is_partitioned) {
+    network.at(network.now() + kConnectionTimeout, [this] { resetCrossRegionLinks(); });
   } else {
-    resetBetween();
+    resetCrossRegionLinks();
   }
 }
 
-void RegionMesh::resetBetween() {
+void RegionMesh::resetCrossRegionLinks() {
   std::vector<ProcessId> ids = stores_.ids();
   for (const auto& machine : machines_) ids.push_back(machine.id);
   for (const ProcessId left : ids) {
@@ -188,23 +188,23 @@
   }
 }
 
-void RegionMesh::beginCounting() {
-  requests_between = 0;
-  served_.clear();
-  kept_runs.clear();
-  bytes_from.clear();
-  longest_queue = Duration::zero();
+void RegionMesh::resetCounters() {
+  cross_region_requests = 0;
+  outcomes_.clear();
+  restricted_runs.clear();
+  bytes_sent_by_region.clear();
+  max_queue_time = Duration::zero();
 }
 
-Served RegionMesh::served(const std::string& region, const std::string& route) const {
-  const auto found = served_.find({region, route});
-  return found == served_.end() ? Served() : found->second;
+OutcomeCounts RegionMesh::outcomes(const std::string& region, const std::string& route) const {
+  const auto found = outcomes_.find({region, route});
+  return found == outcomes_.end() ? OutcomeCounts() : found->second;
 }
 
-Served RegionMesh::served(const std::string& region) const {
-  Served sum;
+OutcomeCounts RegionMesh::outcomes(const std::string& region) const {
+  OutcomeCounts sum;
   for (const char* route : {"read", "large", "kept"}) {
-    const auto part = served(region, route);
+    const auto part = outcomes(region, route);
     sum.answered += part.answered;
     sum.not_run += part.not_run;
     sum.other += part.other;
@@ -217,18 +217,18 @@
   return known == regions_.end() ? "east" : known->second;
 }
 
-std::optional<Duration> RegionMesh::wayOf(ProcessId from, ProcessId to, const wire::EnvelopeT& message) {
+std::optional<Duration> RegionMesh::latencyOf(ProcessId from, ProcessId to, const wire::EnvelopeT& message) {
   const auto region = regionOf(from);
   if (region == regionOf(to)) return Duration::zero();
-  if (is_cut_) return std::nullopt;
-  if (message.body.AsForwardRequest() != nullptr) ++requests_between;
+  if (is_partitioned_) return std::nullopt;
+  if (message.body.AsForwardRequest() != nullptr) ++cross_region_requests;
   const auto bytes = static_cast<double>(sizeOf(message));
-  bytes_from[region] += bytes;
+  bytes_sent_by_region[region] += bytes;
   auto& free_at = link_free_at_[region];
   const TimePoint begin = std::max(network.now(), free_at);
-  longest_queue = std::max(longest_queue, begin - network.now());
-  free_at = begin + durationOf(bytes / setup_.link);
-  return kBetweenRegions + (free_at - network.now());
+  max_queue_time = std::max(max_queue_time, begin - network.now());
+  free_at = begin + durationOf(bytes / setup_.link_bandwidth);
+  return kCrossRegionLatency + (free_at - network.now());
 }
 
 }  // namespace cometstand::regions::test
--- a/tests/regions/region_mesh.h
+++ b/tests/regions/region_mesh.h
@@ -15,65 +15,65 @@
 
 using rollout::test::ProcessId;
 
-/// What a test varies.
+/// Parameters of a simulated mesh.
 struct MeshSetup {
   std::uint64_t seed = 1;
   /// Requests a second of each sidecar's callers, by region.
   std::map<std::string, double> calls_per_second;
-  /// Bytes a second of the link between the regions, each way.
-  double link = 1e9;
-  /// The same as the sidecars' settings say.
-  double known_link = 0;
-  /// Of the answers of /large/, which are a fifth of all.
-  std::size_t large_answer = 400;
-  /// Regions of the route /kept/; without any nobody calls it.
-  std::vector<std::string> kept_to;
+  /// Capacity of the link between the regions in bytes a second, each way.
+  double link_bandwidth = 1e9;
+  /// Capacity of the link by the sidecars' settings; 0 if it is not configured.
+  double configured_link_bandwidth = 0;
+  /// Bytes of an answer of the route /large/, which gets a fifth of all requests.
+  std::size_t large_answer_bytes = 400;
+  /// Regions that the route /kept/ is restricted to; if empty, the route gets no requests.
+  std::vector<std::string> restricted_regions;
 };
 
-/// What became of one region's callers' requests on one route.
-struct Served {
+/// Outcomes of the requests of one region's callers on one route.
+struct OutcomeCounts {
   std::size_t answered = 0;
   std::size_t not_run = 0;
   std::size_t other = 0;
   std::size_t all() const { return answered + not_run + other; }
-  double share() const {
+  double answeredShare() const {
     return static_cast<double>(answered) / static_cast<double>(std::max<std::size_t>(1, all()));
   }
 };
 
-/// Stores in the region "east", and sidecars with targets in "east" and "west", 30 ms from each other over
-/// one link of a bounded width.
+/// Simulates stores in region "east" and sidecars with targets in "east" and "west", with one link of limited
+/// capacity and 30 ms latency between the regions.
 class RegionMesh {
  public:
-  static constexpr std::size_t kSidecarsOfRegion = 5;
+  static constexpr std::size_t kSidecarsPerRegion = 5;
 
   explicit RegionMesh(MeshSetup setup);
 
   void runFor(Duration time) { network.runFor(time); }
-  /// Forgets what was counted until now.
-  void beginCounting();
-  /// The link between the regions loses everything without notice, or works again.
-  void setCut(bool is_cut);
-  /// Changes the regions of the route /kept/ by a new configuration.
-  void keepTo(std::vector<std::string> regions);
+  /// Resets all counters except `disallowed_runs`.
+  void resetCounters();
+  /// Makes the link between the regions drop all messages silently, or restores it.
+  void setPartitioned(bool is_partitioned);
+  /// Publishes a configuration that restricts the route /kept/ to these regions.
+  void restrictTo(std::vector<std::string> regions);
 
-  Served served(const std::string& region) const;
-  Served served(const std::string& region, const std::string& route) const;
+  OutcomeCounts outcomes(const std::string& region) const;
+  OutcomeCounts outcomes(const std::string& region, const std::string& route) const;
 
   rollout::test::ProcessNetwork network;
-  /// Runs of /kept/ that began at targets, by region.
-  std::map<std::string, std::size_t> kept_runs;
-  /// Those of them whose sidecar knew then that its region is none of the route's.
-  std::size_t kept_wrong = 0;
-  /// Requests that entered the link.
-  std::size_t requests_between = 0;
-  /// Bytes that entered the link, by the region they came from.
-  std::map<std::string, double> bytes_from;
-  /// The longest time that a message waited for the link.
-  Duration longest_queue{};
+  /// Requests on /kept/ that targets started to run, by region.
+  std::map<std::string, std::size_t> restricted_runs;
+  /// Requests on /kept/ that ran although the sidecar's configuration did not allow its region for the route.
+  std::size_t disallowed_runs = 0;
+  /// Requests that were sent over the link.
+  std::size_t cross_region_requests = 0;
+  /// Bytes that were sent over the link, by the sender's region.
+  std::map<std::string, double> bytes_sent_by_region;
+  /// The longest time that a message was queued at the link.
+  Duration max_queue_time{};
 
  private:
-  /// A target, the callers of its sidecar, and what both are owed.
+  /// A simulated host with one target and the callers of its sidecar, and their requests in flight.
   struct Machine : sidecar::TargetPort, sidecar::CallerPort {
     RegionMesh* mesh = nullptr;
     ProcessId id = 0;
@@ -94,13 +94,13 @@
   sidecar::SidecarCore& sidecarOf(const Machine& machine) {
     return dynamic_cast<sidecar::SidecarCore&>(network.core(machine.id));
   }
-  void keepBeating(Machine& machine);
-  void keepCalling(Machine& machine);
+  void scheduleHeartbeats(Machine& machine);
+  void scheduleCalls(Machine& machine);
   std::string drawRoute();
-  /// Ends all links between the regions.
-  void resetBetween();
+  /// Resets all connections between the regions.
+  void resetCrossRegionLinks();
   std::string regionOf(ProcessId id) const;
-  std::optional<Duration> wayOf(ProcessId from, ProcessId to, const wire::EnvelopeT& message);
+  std::optional<Duration> latencyOf(ProcessId from, ProcessId to, const wire::EnvelopeT& message);
   wire::MeshConfigurationT makeConfiguration() const;
 
   MeshSetup setup_;
@@ -108,9 +108,9 @@
   rollout::test::StoreGroup stores_;
   std::deque<Machine> machines_;
   std::map<ProcessId, std::string> regions_;
-  bool is_cut_ = false;
+  bool is_partitioned_ = false;
   std::map<std::string, TimePoint> link_free_at_;
-  std::map<std::pair<std::string, std::string>, Served> served_;
+  std::map<std::pair<std::string, std::string>, OutcomeCounts> outcomes_;
   std::uint64_t next_call_ = 1;
   std::uint64_t revision_ = 0;
 };
