--- a/src/sidecar/outbound_ends.cpp
+++ b/src/sidecar/outbound_ends.cpp
@@ -15,8 +15,8 @@
 constexpr Duration kDefaultRetryAfter = std::chrono::milliseconds(80);
 /// Time from the usual end of a planned stop until the successor process is up.
 constexpr Duration kRestartTime = std::chrono::seconds(1);
-/// Largest retry delay as a share of the caller's remaining time; callers do not wait longer than that.
-constexpr double kMaxRetryAfterShare = 1.0 / 3;
+/// Share of their remaining time that callers wait before a retry at most; limits the spread of retry delays.
+constexpr double kMaxWaitShare = 1.0 / 3;
 /// How long an endpoint is avoided after its link was lost.
 constexpr Duration kLostPeerAvoidance = std::chrono::milliseconds(1'500);
 
@@ -149,14 +149,12 @@
 /// @return a random retry delay from a range that grows with the share of refused requests: callers that are
 /// refused together do not retry together, and wait longer the more of them are refused.
 Duration OutboundCalls::drawRetryAfter(const CallState& call, TimePoint now) {
-  const auto max_retry_after =
-      std::chrono::duration_cast<Duration>((call.caller_deadline - now) * kMaxRetryAfterShare);
+  const auto max_wait = std::chrono::duration_cast<Duration>((call.caller_deadline - now) * kMaxWaitShare);
   // While all targets warm up, a retry would take the capacity of other requests.
-  const Duration cold = std::min(parts_.endpoints.coldTime(requirementsOf(call), now), max_retry_after);
+  const Duration cold = std::min(parts_.endpoints.coldTime(requirementsOf(call), now), max_wait);
   const Duration suggested = call.retry_after == Duration::zero() ? kDefaultRetryAfter : call.retry_after;
   const Duration min_retry_after = std::max(suggested, cold);
-  const auto spread =
-      std::chrono::duration_cast<Duration>(max_retry_after * refusals_.of(call.request->service));
+  const auto spread = std::chrono::duration_cast<Duration>(max_wait * refusals_.of(call.request->service));
   return parts_.random.uniform(min_retry_after, min_retry_after + std::max(min_retry_after, spread));
 }
 
