--- a/src/sidecar/distance_cost.h
+++ b/src/sidecar/distance_cost.h
@@ -5,8 +5,8 @@
 
 namespace cometstand::sidecar {
 
-/// What the way to an endpoint costs, in units of a full target: nothing in the own zone, bytes between
-/// zones, and between regions the time of the way as well.
+/// Computes the cost of the network distance to an endpoint, in units of a full target. The own zone costs
+/// nothing, traffic between zones is charged by bytes, and traffic between regions also by round-trip time.
 class DistanceCost {
  public:
   /// @param options and links must outlive the object.
@@ -15,8 +15,8 @@
   double of(const Endpoint& endpoint, const EndpointWant& want, TimePoint now) const;
 
  private:
-  /// @return what the way to another region costs.
-  double ofRegion(const Endpoint& endpoint, const EndpointWant& want, TimePoint now) const;
+  /// @return the cost of sending the request to another region.
+  double crossRegionCost(const Endpoint& endpoint, const EndpointWant& want, TimePoint now) const;
 
   const SidecarOptions& options_;
   const RegionLinks& links_;
--- a/src/sidecar/endpoint.h
+++ b/src/sidecar/endpoint.h
@@ -12,72 +12,74 @@
 
 namespace cometstand::sidecar {
 
-/// What is known of one endpoint: a target and the sidecar beside it.
+/// State of one endpoint, which is a target instance and its sidecar, as known to this sidecar.
 struct Endpoint {
-  /// Where the sidecar beside the target listens.
+  /// Listen address of the target's sidecar.
   runtime::Address address;
   std::string service;
-  /// Rises with each endpoint that is listed under a service: the order in which a choice looks at them.
+  /// Increasing sequence number, assigned when the endpoint is listed under a service. Endpoint selection
+  /// iterates in this order.
   std::uint64_t number = 0;
   std::string instance;
-  /// Of the target's software; empty if not known.
+  /// Version of the target's software; empty if unknown.
   std::string version;
   std::string zone;
   unsigned slots = 1;
   bool live = false;
-  /// Can be reached now.
+  /// The endpoint is reachable now: a link to it is open, or it is the local endpoint, which needs none.
   bool linked = false;
-  /// Requests sent by this sidecar and not answered yet.
+  /// Requests from this sidecar that are in flight.
   unsigned outstanding = 0;
-  /// Requests that the target had when it last answered this sidecar.
+  /// Requests running or queued at the target, from the endpoint's latest reply to this sidecar.
   unsigned reported_load = 0;
-  /// Share of the target's runs that lately ended without a whole answer, as its sidecar said.
+  /// Share of the target's recent runs that ended without a complete response, as reported by its sidecar.
   double failure_rate = 0;
-  /// Time that the target takes for a run, as a share of the run's objective, as its sidecar said; 0 if not
-  /// known.
+  /// Run time of the target divided by the latency objective, as reported by its sidecar; 0 if unknown.
   double run_time = 0;
-  /// Time until the endpoint could receive another large body, as its sidecar said.
+  /// Time until the endpoint can receive another large request body, as reported by its sidecar.
   Duration intake_wait{};
-  /// Time until the large answers that the endpoint holds have been sent, as its sidecar said.
+  /// Time until the endpoint has sent the large responses it holds, as reported by its sidecar.
   Duration answer_wait{};
   TimePoint reported_at;
-  /// While requests are outstanding: since when nothing was heard of the endpoint.
-  TimePoint silent_since;
-  /// Not chosen before, unless there is no other.
+  /// While requests are in flight: start of the period without any reply from the endpoint.
+  TimePoint no_reply_since;
+  /// Until this time the endpoint is selected only if there is no other.
   TimePoint avoid_until;
-  /// The target is cold until then, as far as is known.
+  /// Estimated end of the target's warm-up.
   TimePoint cold_until;
-  /// Requests that the target takes while it is cold, as its sidecar last said, less those sent since.
+  /// Requests that the target accepts during warm-up: the latest value reported by its sidecar, less the
+  /// requests sent since.
   unsigned cold_room = 0;
-  /// While it is cold and has no room: not asked before.
-  TimePoint cold_closed_until;
-  /// Taken out then, unless a store names it again.
+  /// Until this time a target in warm-up without capacity gets no request.
+  TimePoint cold_retry_at;
+  /// Time at which the endpoint is removed, unless a store lists it again.
   std::optional<TimePoint> expires_at;
 };
 
-/// What an endpoint is wanted for.
+/// Properties of a request that determine which endpoint is selected for it.
 struct EndpointWant {
   std::string service;
-  /// Size of the bodies of the request and, as far as known, of its answer.
+  /// Size of the request body plus the expected size of the response body, as far as it is known.
   std::size_t bytes = 0;
-  /// The request's body is announced and sent as the endpoint grants.
+  /// The request body is announced first and sent as the endpoint grants credit.
   bool has_large_body = false;
-  /// Its answer is expected to be sent in parts.
+  /// The response is expected to be sent in parts.
   bool has_large_answer = false;
-  /// How long the request may wait at an endpoint.
+  /// Maximum time that the request may wait for a slot at an endpoint.
   Duration patience{};
-  /// Versions that may get it.
+  /// Versions to which the request may be sent.
   VersionFilter versions{};
-  /// The only regions whose endpoints may get it; empty for all.
+  /// Regions in which the request may be served; empty for all.
   std::vector<std::string> regions{};
-  /// The request may be sent again once it may have run.
+  /// The request may be retried even if an earlier attempt may have run.
   bool may_repeat = true;
-  /// The same by a configuration that came after the request: both bind. Empty for all.
+  /// Regions allowed by a configuration that was received after the request; empty for all. The request is
+  /// served only in regions that `regions` allows as well.
   std::vector<std::string> newer_regions{};
-  /// No more urgent requests come for the service.
+  /// The request has the highest urgency of all requests for the service.
   bool is_urgent = false;
-  /// How likely it is refused altogether, from 0 to 1: the share of the sender's requests for the service
-  /// that lately were, or 1 once an endpoint has refused this one.
+  /// Estimated probability, from 0 to 1, that the request is refused altogether: the share of this sender's
+  /// recent requests for the service that were refused, or 1 once an endpoint has refused this request.
   double refused_share = 0;
 };
 
--- a/src/sidecar/endpoint_cost.h
+++ b/src/sidecar/endpoint_cost.h
@@ -12,9 +12,9 @@
 
 namespace cometstand::sidecar {
 
-/// What sending a request to an endpoint costs, in units of a full target: the endpoint of the least cost is
-/// chosen. Load, speed, distance, failures, silence and refusals count; what may not be chosen at all is
-/// decided by EndpointFilter.
+/// Computes the cost of sending a request to an endpoint; the endpoint with the lowest cost is selected. A
+/// cost of 1 corresponds to a target whose slots are all in use. The cost covers load, speed, distance,
+/// failures, missing replies and refusals. EndpointFilter excludes the endpoints that are not eligible.
 class EndpointCost {
  public:
   /// @param options and links must outlive the object.
@@ -23,22 +23,22 @@
   double of(const Endpoint& endpoint, const EndpointWant& want, const LoadEstimate& estimate,
             RandomSource& random, TimePoint now) const;
 
-  /// @return since when the endpoint has been silent on its requests for much longer than answers of its
-  /// service take; nothing if it has not.
-  std::optional<TimePoint> missedSince(const Endpoint& endpoint, TimePoint now) const;
+  /// @return the time at which the endpoint's reply became overdue, which is when it had left its requests
+  /// without a reply for much longer than responses of its service take; nullopt if it is not overdue.
+  std::optional<TimePoint> overdueSince(const Endpoint& endpoint, TimePoint now) const;
 
-  /// A target of the service answered after that time.
+  /// Records the time that a target of the service took to respond.
   void noteAnswered(const std::string& service, Duration time);
 
  private:
-  /// @return what the time costs that bodies wait for the endpoint's link.
-  static double ofWaiting(const Endpoint& endpoint, const EndpointWant& want, TimePoint now);
-  /// @return what the silence of an endpoint with outstanding requests costs.
-  double ofSilence(const Endpoint& endpoint, TimePoint now) const;
+  /// @return the cost of the time that large bodies wait for the endpoint's link.
+  static double transferWaitCost(const Endpoint& endpoint, const EndpointWant& want, TimePoint now);
+  /// @return the cost of missing replies of an endpoint that has requests in flight.
+  double missingReplyCost(const Endpoint& endpoint, TimePoint now) const;
 
   DistanceCost distance_;
-  /// Smoothed time from a request to its answer, by service, in microseconds.
-  std::map<std::string, double> answer_time_;
+  /// Smoothed response time by service, in microseconds.
+  std::map<std::string, double> response_time_;
 };
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/endpoint_directory.cpp
+++ b/src/sidecar/endpoint_directory.cpp
@@ -5,12 +5,12 @@
 namespace cometstand::sidecar {
 namespace {
 
-/// How long endpoints are kept that a store does not know when it begins to send records: it may have started
-/// a moment ago.
-constexpr Duration kUnconfirmedLease = std::chrono::seconds(3);
-/// A cold endpoint that has just said that it has no room is not asked for this long: about the time in which
-/// a target that bears ten requests a second gets room for one.
-constexpr Duration kColdPause = std::chrono::milliseconds(100);
+/// Time for which endpoints are kept that are missing in a store's full snapshot. The store may have started
+/// just before and not know all endpoints yet.
+constexpr Duration kUnconfirmedRetention = std::chrono::seconds(3);
+/// Minimum time before another request is sent to a target in warm-up that reported no capacity. It is about
+/// the time in which a target with a capacity of ten requests per second can accept one more.
+constexpr Duration kMinColdRetryDelay = std::chrono::milliseconds(100);
 constexpr double kPermille = 1000;
 constexpr std::size_t kThousand = 1'000;
 
@@ -18,7 +18,7 @@
 
 void EndpointDirectory::apply(const wire::EndpointUpdateT& update, bool is_whole, TimePoint now) {
   if (is_whole) {
-    for (auto& [address, endpoint] : endpoints_) endpoint.expires_at = now + kUnconfirmedLease;
+    for (auto& [address, endpoint] : endpoints_) endpoint.expires_at = now + kUnconfirmedRetention;
   }
   for (const auto& record : update.records) {
     const runtime::Address address{record->address, record->port};
@@ -31,7 +31,7 @@
     auto& endpoint = endpoints_[address];
     endpoint.address = address;
     setService(endpoint, record->service);
-    if (endpoint.instance != record->endpoint) forgetTarget(endpoint);
+    if (endpoint.instance != record->endpoint) resetTargetState(endpoint);
     endpoint.instance = record->endpoint;
     endpoint.version = record->version;
     endpoint.zone = record->zone;
@@ -40,20 +40,20 @@
     endpoint.cold_until = now + std::chrono::milliseconds(record->cold_ms);
     endpoint.expires_at.reset();
   }
-  countSenders();
+  updateSenderCount();
 }
 
-/// Load, failures, speed, refusals and room are those of the target before.
-void EndpointDirectory::forgetTarget(Endpoint& endpoint) {
+/// Clears the state that belongs to the previous target: load, failures, speed, refusals and capacity.
+void EndpointDirectory::resetTargetState(Endpoint& endpoint) {
   endpoint.reported_load = 0;
   endpoint.failure_rate = 0;
   endpoint.run_time = 0;
   endpoint.avoid_until = TimePoint();
   endpoint.cold_room = 0;
-  endpoint.cold_closed_until = TimePoint();
+  endpoint.cold_retry_at = TimePoint();
 }
 
-void EndpointDirectory::countSenders() {
+void EndpointDirectory::updateSenderCount() {
   const auto& own = options_.zones.regionOf(options_.zone);
   const auto senders = std::count_if(endpoints_.begin(), endpoints_.end(), [&](const auto& item) {
     return options_.zones.regionOf(item.second.zone) == own;
@@ -63,22 +63,22 @@
 
 void EndpointDirectory::setService(Endpoint& endpoint, const std::string& service) {
   if (endpoint.service == service) return;
-  unlist(endpoint);
+  removeFromLists(endpoint);
   endpoint.service = service;
-  endpoint.number = ++last_number_;
+  endpoint.number = ++last_endpoint_number_;
   by_service_[service].push_back(&endpoint);
-  if (endpoint.linked) listLinked(endpoint);
+  if (endpoint.linked) addToLinked(endpoint);
 }
 
-void EndpointDirectory::listLinked(Endpoint& endpoint) {
+void EndpointDirectory::addToLinked(Endpoint& endpoint) {
   auto& listed = linked_[endpoint.service];
-  const auto place = std::upper_bound(
+  const auto position = std::upper_bound(
       listed.begin(), listed.end(), &endpoint,
       [](const Endpoint* left, const Endpoint* right) { return left->number < right->number; });
-  listed.insert(place, &endpoint);
+  listed.insert(position, &endpoint);
 }
 
-void EndpointDirectory::unlist(Endpoint& endpoint) {
+void EndpointDirectory::removeFromLists(Endpoint& endpoint) {
   for (auto* lists : {&by_service_, &linked_}) {
     const auto listed = lists->find(endpoint.service);
     if (listed != lists->end()) std::erase(listed->second, &endpoint);
@@ -89,7 +89,7 @@
   if (endpoint.linked == is_linked) return;
   endpoint.linked = is_linked;
   if (is_linked) {
-    listLinked(endpoint);
+    addToLinked(endpoint);
   } else {
     std::erase(linked_[endpoint.service], &endpoint);
   }
@@ -101,7 +101,7 @@
 }
 
 void EndpointDirectory::noteSent(Endpoint& endpoint, TimePoint now) {
-  if (endpoint.outstanding == 0) endpoint.silent_since = now;
+  if (endpoint.outstanding == 0) endpoint.no_reply_since = now;
   ++endpoint.outstanding;
   if (endpoint.cold_room > 0) --endpoint.cold_room;
 }
@@ -113,8 +113,8 @@
   std::vector<Endpoint*> candidates;
   candidates.reserve(listed->second.size());
   LoadEstimate estimate(now);
-  noteSilent(listed->second, now);
-  bool is_held_back = false;
+  noteOverdueEndpoints(listed->second, now);
+  bool is_over_link_share = false;
   for (auto* endpoint : listed->second) {
     if (!EndpointFilter::isReachable(*endpoint)) continue;
     estimate.add(*endpoint);
@@ -123,29 +123,31 @@
     if (region_links_.admits(*endpoint, want, now)) {
       candidates.push_back(endpoint);
     } else {
-      is_held_back = true;
+      is_over_link_share = true;
     }
   }
-  if (is_held_back) region_links_.noteHeldBack();
-  if (want.versions.pool == VersionFilter::Pool::Canary) keepShare(candidates, want.versions.canary_permille);
-  auto* best = cheapest(candidates, want, estimate, random, now);
-  if (best == nullptr || !zone_health_.isDark(best->zone)) return best;
-  std::erase_if(candidates, [this](const auto* endpoint) { return zone_health_.isDark(endpoint->zone); });
-  if (isSentToDark(*best, want, candidates.empty(), now)) return best;
-  return cheapest(candidates, want, estimate, random, now);
-}
-
-bool EndpointDirectory::isSentToDark(const Endpoint& endpoint, const EndpointWant& want, bool is_only_choice,
-                                     TimePoint now) {
-  const bool is_probe = zone_health_.wantsProbe(endpoint.zone, now) && (want.may_repeat || is_only_choice);
+  if (is_over_link_share) region_links_.noteHeldBack();
+  if (want.versions.pool == VersionFilter::Pool::Canary)
+    limitToCanaryShare(candidates, want.versions.canary_permille);
+  auto* best = findLowestCost(candidates, want, estimate, random, now);
+  if (best == nullptr || !zone_health_.isUnresponsive(best->zone)) return best;
+  std::erase_if(candidates,
+                [this](const auto* endpoint) { return zone_health_.isUnresponsive(endpoint->zone); });
+  if (maySendToUnresponsiveZone(*best, want, candidates.empty(), now)) return best;
+  return findLowestCost(candidates, want, estimate, random, now);
+}
+
+bool EndpointDirectory::maySendToUnresponsiveZone(const Endpoint& endpoint, const EndpointWant& want,
+                                                  bool is_only_choice, TimePoint now) {
+  const bool is_probe = zone_health_.isProbeDue(endpoint.zone, now) && (want.may_repeat || is_only_choice);
   if (is_probe) zone_health_.noteProbe(endpoint.zone, now);
   return is_probe || (want.may_repeat && is_only_choice);
 }
 
-void EndpointDirectory::noteSilent(const std::vector<Endpoint*>& endpoints, TimePoint now) {
+void EndpointDirectory::noteOverdueEndpoints(const std::vector<Endpoint*>& endpoints, TimePoint now) {
   for (const auto* endpoint : endpoints) {
-    const auto missed_at = cost_.missedSince(*endpoint, now);
-    if (missed_at) zone_health_.noteMissed(endpoint->zone, endpoint->address.host, *missed_at);
+    const auto overdue_at = cost_.overdueSince(*endpoint, now);
+    if (overdue_at) zone_health_.noteFailure(endpoint->zone, endpoint->address.host, *overdue_at);
   }
 }
 
@@ -153,15 +155,15 @@
   auto* endpoint = find(address);
   if (endpoint == nullptr) return;
   setLinked(*endpoint, true);
-  zone_health_.noteHeard(endpoint->zone, now);
+  zone_health_.noteContact(endpoint->zone, now);
 }
 
 void EndpointDirectory::noteUnlinked(const runtime::Address& address, TimePoint now) {
   auto* endpoint = find(address);
   if (endpoint == nullptr) return;
-  const bool is_missed = endpoint->linked && endpoint->live;
+  const bool is_failure = endpoint->linked && endpoint->live;
   setLinked(*endpoint, false);
-  if (is_missed) zone_health_.noteMissed(endpoint->zone, address.host, now);
+  if (is_failure) zone_health_.noteFailure(endpoint->zone, address.host, now);
 }
 
 void EndpointDirectory::noteOwn(const runtime::Address& address) {
@@ -172,9 +174,9 @@
   if (auto* endpoint = find(address)) setLinked(*endpoint, false);
 }
 
-Endpoint* EndpointDirectory::cheapest(const std::vector<Endpoint*>& candidates, const EndpointWant& want,
-                                      const LoadEstimate& estimate, RandomSource& random,
-                                      TimePoint now) const {
+Endpoint* EndpointDirectory::findLowestCost(const std::vector<Endpoint*>& candidates,
+                                            const EndpointWant& want, const LoadEstimate& estimate,
+                                            RandomSource& random, TimePoint now) const {
   Endpoint* best = nullptr;
   double best_score = 0;
   for (auto* endpoint : candidates) {
@@ -186,7 +188,7 @@
   return best;
 }
 
-void EndpointDirectory::keepShare(std::vector<Endpoint*>& candidates, unsigned permille) {
+void EndpointDirectory::limitToCanaryShare(std::vector<Endpoint*>& candidates, unsigned permille) {
   const std::size_t wanted = (candidates.size() * permille + kThousand - 1) / kThousand;
   if (wanted >= candidates.size()) return;
   std::sort(candidates.begin(), candidates.end(),
@@ -220,15 +222,16 @@
   endpoint.cold_until = now + std::chrono::milliseconds(reply.cold_ms);
   endpoint.cold_room = reply.cold_room;
   const bool was_refused = reply.outcome == wire::ForwardOutcome::NotRun;
-  const Duration pause = was_refused ? std::chrono::milliseconds(reply.retry_after_ms) : kColdPause;
-  endpoint.cold_closed_until = now + std::max(pause, kColdPause);
+  const Duration retry_delay =
+      was_refused ? std::chrono::milliseconds(reply.retry_after_ms) : kMinColdRetryDelay;
+  endpoint.cold_retry_at = now + std::max(retry_delay, kMinColdRetryDelay);
   endpoint.reported_at = now;
-  endpoint.silent_since = now;
-  zone_health_.noteHeard(endpoint.zone, now);
+  endpoint.no_reply_since = now;
+  zone_health_.noteContact(endpoint.zone, now);
 }
 
 std::vector<runtime::Address> EndpointDirectory::expire(TimePoint now) {
-  std::vector<runtime::Address> gone;
+  std::vector<runtime::Address> removed;
   for (auto item = endpoints_.begin(); item != endpoints_.end();) {
     auto& endpoint = item->second;
     const bool has_expired = endpoint.expires_at && *endpoint.expires_at <= now && endpoint.outstanding == 0;
@@ -236,12 +239,12 @@
       ++item;
       continue;
     }
-    gone.push_back(item->first);
-    unlist(endpoint);
+    removed.push_back(item->first);
+    removeFromLists(endpoint);
     item = endpoints_.erase(item);
   }
-  if (!gone.empty()) countSenders();
-  return gone;
+  if (!removed.empty()) updateSenderCount();
+  return removed;
 }
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/endpoint_directory.h
+++ b/src/sidecar/endpoint_directory.h
@@ -18,8 +18,8 @@
 
 namespace cometstand::sidecar {
 
-/// The endpoints of the mesh as the stores and the answers of the endpoints themselves tell. Hints: the
-/// sidecar beside a target decides what the target gets.
+/// Endpoints of the mesh, from the records of the stores and the replies of the endpoints. The data is
+/// advisory: a target's own sidecar decides which requests the target gets.
 class EndpointDirectory {
  public:
   /// @param options, evacuations must outlive the directory.
@@ -30,30 +30,31 @@
         cost_(options, region_links_),
         zone_health_(options.zone) {}
 
-  /// Takes the records of one store over, in the order in which it sent them.
-  /// @param is_whole the records are all that the store knows; others expire soon.
+  /// Applies records of one store, in the order in which it sent them.
+  /// @param is_whole the records are a full snapshot; endpoints that it does not list expire soon.
   void apply(const wire::EndpointUpdateT& update, bool is_whole, TimePoint now);
 
   Endpoint* find(const runtime::Address& address);
   const std::map<runtime::Address, Endpoint>& all() const { return endpoints_; }
 
-  /// Endpoints of a dark zone (see ZoneHealth) get a probe now and then, else only what no other zone can
-  /// take, and that only if it may be repeated: such a zone may hear without being heard.
-  /// @param tried are not chosen.
-  /// @return the endpoint to send the next request to; nullptr if there is none.
+  /// Selects the endpoint for a request. Apart from occasional probes, endpoints of an unresponsive zone (see
+  /// ZoneHealth) get only requests that no other zone can take and that may be repeated: such a zone may
+  /// receive requests although its responses are lost.
+  /// @param tried endpoints that are not selected.
+  /// @return the endpoint to send the request to; nullptr if there is none.
   Endpoint* choose(const EndpointWant& want, const std::set<runtime::Address>& tried, RandomSource& random,
                    TimePoint now);
 
-  /// @return time until the first endpoint that may get such a request is warm; zero if one is, or there is
-  /// none.
+  /// @return time until the first endpoint that is eligible for the request is warm; zero if one is warm or
+  /// none is eligible.
   Duration coldTime(const EndpointWant& want, TimePoint now) const;
-  /// The link to the address was opened.
+  /// Records that the link to the address was opened.
   void noteLinked(const runtime::Address& address, TimePoint now);
-  /// The link to the address ended, or could not be opened.
+  /// Records that the link to the address ended or could not be opened.
   void noteUnlinked(const runtime::Address& address, TimePoint now);
-  /// The endpoint beside this sidecar needs no link.
+  /// Marks the local endpoint as reachable, since it needs no link.
   void noteOwn(const runtime::Address& address);
-  /// This sidecar gives up its link to the address: that says nothing of the endpoint.
+  /// Records that this sidecar closed its link to the address. This does not affect the health of the zone.
   void noteReleased(const runtime::Address& address);
   /// @return true if the request may be served in the endpoint's region.
   bool isAllowedRegion(const Endpoint& endpoint, const EndpointWant& want) const {
@@ -66,32 +67,37 @@
   RegionLinks& regionLinks() { return region_links_; }
   const RegionLinks& regionLinks() const { return region_links_; }
 
-  /// A request goes to the endpoint.
+  /// Records that a request is sent to the endpoint.
   static void noteSent(Endpoint& endpoint, TimePoint now);
-  /// A target of the service answered after that time.
+  /// Records the time that a target of the service took to respond.
   void noteAnswered(const std::string& service, Duration time) { cost_.noteAnswered(service, time); }
   void onReply(Endpoint& endpoint, const wire::ForwardReplyT& reply, TimePoint now);
 
-  /// Takes out what has expired. @return the addresses that went.
+  /// Removes expired endpoints. @return the removed addresses.
   std::vector<runtime::Address> expire(TimePoint now);
 
  private:
-  /// Leaves as many of the candidates as the share of a new version wants, the same at every sender.
-  static void keepShare(std::vector<Endpoint*>& candidates, unsigned permille);
-  /// Tells zone_health_ of the endpoints that are silent.
-  void noteSilent(const std::vector<Endpoint*>& endpoints, TimePoint now);
-  /// @return the candidate of the least cost; nullptr without candidates.
-  Endpoint* cheapest(const std::vector<Endpoint*>& candidates, const EndpointWant& want,
-                     const LoadEstimate& estimate, RandomSource& random, TimePoint now) const;
-  /// @return true if the endpoint of a dark zone, the cheapest of all, gets the request all the same.
-  bool isSentToDark(const Endpoint& endpoint, const EndpointWant& want, bool is_only_choice, TimePoint now);
-  static void forgetTarget(Endpoint& endpoint);
+  /// Reduces the candidates to the number that corresponds to the canary share. Senders with the same
+  /// candidates keep the same ones.
+  static void limitToCanaryShare(std::vector<Endpoint*>& candidates, unsigned permille);
+  /// Records the endpoints with overdue replies in zone_health_.
+  void noteOverdueEndpoints(const std::vector<Endpoint*>& endpoints, TimePoint now);
+  /// @return the candidate with the lowest cost; nullptr if there are no candidates.
+  Endpoint* findLowestCost(const std::vector<Endpoint*>& candidates, const EndpointWant& want,
+                           const LoadEstimate& estimate, RandomSource& random, TimePoint now) const;
+  /// Records a probe if the request is one.
+  /// @param endpoint the candidate with the lowest cost, in an unresponsive zone.
+  /// @return true if the request is sent to the endpoint nevertheless.
+  bool maySendToUnresponsiveZone(const Endpoint& endpoint, const EndpointWant& want, bool is_only_choice,
+                                 TimePoint now);
+  static void resetTargetState(Endpoint& endpoint);
   void setService(Endpoint& endpoint, const std::string& service);
-  void unlist(Endpoint& endpoint);
+  void removeFromLists(Endpoint& endpoint);
   void setLinked(Endpoint& endpoint, bool is_linked);
-  void listLinked(Endpoint& endpoint);
-  /// Whoever has an endpoint in the own region may send to others.
-  void countSenders();
+  void addToLinked(Endpoint& endpoint);
+  /// Updates the number of senders in the own region: every sidecar with an endpoint there may send requests
+  /// to other regions.
+  void updateSenderCount();
 
   const SidecarOptions& options_;
   EndpointFilter filter_;
@@ -99,10 +105,10 @@
   EndpointCost cost_;
   ZoneHealth zone_health_;
   std::map<runtime::Address, Endpoint> endpoints_;
-  /// The same by service.
+  /// Endpoints by service.
   std::map<std::string, std::vector<Endpoint*>> by_service_;
-  std::uint64_t last_number_ = 0;
-  /// Those that can be reached: a request looks at these of its own service only, however many there are.
+  std::uint64_t last_endpoint_number_ = 0;
+  /// Reachable endpoints by service, so that endpoint selection visits only those of the request's service.
   std::map<std::string, std::vector<Endpoint*>> linked_;
 };
 
--- a/src/sidecar/endpoint_filter.cpp
+++ b/src/sidecar/endpoint_filter.cpp
@@ -3,7 +3,7 @@
 namespace cometstand::sidecar {
 
 bool EndpointFilter::admits(const Endpoint& endpoint, const EndpointWant& want, TimePoint now) const {
-  return isEligible(endpoint, want) && hasColdRoom(endpoint, now);
+  return isEligible(endpoint, want) && hasWarmUpCapacity(endpoint, now);
 }
 
 bool EndpointFilter::isEligible(const Endpoint& endpoint, const EndpointWant& want) const {
@@ -18,8 +18,8 @@
   return mesh::isAllowedRegion(want.regions, region) && mesh::isAllowedRegion(want.newer_regions, region);
 }
 
-bool EndpointFilter::hasColdRoom(const Endpoint& endpoint, TimePoint now) {
-  return now >= endpoint.cold_until || endpoint.cold_room > 0 || now >= endpoint.cold_closed_until;
+bool EndpointFilter::hasWarmUpCapacity(const Endpoint& endpoint, TimePoint now) {
+  return now >= endpoint.cold_until || endpoint.cold_room > 0 || now >= endpoint.cold_retry_at;
 }
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/endpoint_filter.h
+++ b/src/sidecar/endpoint_filter.h
@@ -6,8 +6,8 @@
 
 namespace cometstand::sidecar {
 
-/// Decides which endpoints may get a request at all, as far as their sender knows. Each rule stands for
-/// itself; EndpointCost chooses among those that are left.
+/// Decides which endpoints are eligible for a request, based on what the sender knows. The rules are
+/// independent of each other; EndpointCost ranks the eligible endpoints.
 class EndpointFilter {
  public:
   /// @param zones, evacuations must outlive the filter.
@@ -16,7 +16,7 @@
 
   /// @return true if the endpoint is up and linked.
   static bool isReachable(const Endpoint& endpoint) { return endpoint.live && endpoint.linked; }
-  /// @return true if the endpoint may get such a request, as soon as it bears one more.
+  /// @return true if the endpoint may get the request as soon as it has capacity for one more.
   bool isEligible(const Endpoint& endpoint, const EndpointWant& want) const;
   /// @return true if the endpoint may get the request now.
   bool admits(const Endpoint& endpoint, const EndpointWant& want, TimePoint now) const;
@@ -24,8 +24,8 @@
   bool isAllowedRegion(const Endpoint& endpoint, const EndpointWant& want) const;
 
  private:
-  /// @return true if the endpoint is warm, or bears another request all the same.
-  static bool hasColdRoom(const Endpoint& endpoint, TimePoint now);
+  /// @return true if the endpoint is warm, or has capacity for another request during warm-up.
+  static bool hasWarmUpCapacity(const Endpoint& endpoint, TimePoint now);
 
   const mesh::ZoneMap& zones_;
   const ZoneEvacuations& evacuations_;
--- a/src/sidecar/endpoint_subset.cpp
+++ b/src/sidecar/endpoint_subset.cpp
@@ -14,69 +14,73 @@
 void EndpointSubset::add(const Address& address, const std::string& service, const std::string& version,
                          const std::string& zone) {
   const Group group{service, version};
-  const auto known = places_.find(address);
-  if (known != places_.end() && known->second.group == group && known->second.zone == zone) return;
+  const auto known = memberships_.find(address);
+  if (known != memberships_.end() && known->second.group == group && known->second.zone == zone) return;
   remove(address);
-  places_[address] = {group, zone};
+  memberships_[address] = {group, zone};
   groups_[group][zone].insert(rankOf(address));
-  changed_.insert(group);
+  changed_groups_.insert(group);
 }
 
 void EndpointSubset::remove(const Address& address) {
-  const auto place = places_.find(address);
-  if (place == places_.end()) return;
-  const auto [group, zone] = place->second;
+  const auto membership = memberships_.find(address);
+  if (membership == memberships_.end()) return;
+  const auto [group, zone] = membership->second;
   auto& zones = groups_.at(group);
   zones.at(zone).erase(rankOf(address));
   if (zones.at(zone).empty()) zones.erase(zone);
   if (zones.empty()) groups_.erase(group);
-  places_.erase(place);
-  changed_.insert(group);
+  memberships_.erase(membership);
+  changed_groups_.insert(group);
 }
 
 void EndpointSubset::setWhole(std::set<std::string> services) {
-  if (services == whole_) return;
+  if (services == unrestricted_services_) return;
   for (const auto& [group, zones] : groups_) {
-    if (services.contains(group.first) != whole_.contains(group.first)) changed_.insert(group);
+    if (services.contains(group.first) != unrestricted_services_.contains(group.first))
+      changed_groups_.insert(group);
   }
-  whole_ = std::move(services);
+  unrestricted_services_ = std::move(services);
 }
 
-std::set<runtime::Address> EndpointSubset::choose(const Group& group) const {
-  std::set<Address> chosen;
+std::set<runtime::Address> EndpointSubset::select(const Group& group) const {
+  std::set<Address> selected;
   const auto found = groups_.find(group);
-  if (found == groups_.end()) return chosen;
+  if (found == groups_.end()) return selected;
   const auto& zones = found->second;
   const auto own = zones.find(zone_);
-  const std::size_t of_own = own == zones.end() ? 0 : std::min(kMostOwnZone, own->second.size());
-  const std::size_t others = zones.size() - (own == zones.end() ? 0 : 1);
-  const std::size_t left_for_others = kMostOtherZones + kMostOwnZone - of_own;
-  const std::size_t of_other =
-      others == 0 ? 0 : std::max(kLeastOfZone, (left_for_others + others - 1) / others);
+  const std::size_t own_zone_count =
+      own == zones.end() ? 0 : std::min(kMaxOwnZoneEndpoints, own->second.size());
+  const std::size_t other_zones = zones.size() - (own == zones.end() ? 0 : 1);
+  const std::size_t other_zones_limit = kMaxOtherZoneEndpoints + kMaxOwnZoneEndpoints - own_zone_count;
+  const std::size_t per_zone_count =
+      other_zones == 0 ? 0
+                       : std::max(kMinEndpointsPerZone, (other_zones_limit + other_zones - 1) / other_zones);
   for (const auto& [zone, ranked] : zones) {
-    std::size_t left = zone == zone_ ? of_own : of_other;
-    if (whole_.contains(group.first)) left = ranked.size();
-    for (auto rank = ranked.begin(); rank != ranked.end() && left > 0; ++rank, --left)
-      chosen.insert(rank->second);
+    std::size_t remaining = zone == zone_ ? own_zone_count : per_zone_count;
+    if (unrestricted_services_.contains(group.first)) remaining = ranked.size();
+    for (auto rank = ranked.begin(); rank != ranked.end() && remaining > 0; ++rank, --remaining)
+      selected.insert(rank->second);
   }
-  return chosen;
+  return selected;
 }
 
-/// In two passes, as an endpoint may have gone from one group to another.
+/// Removes the old selection of all changed groups before it adds the new ones, since an endpoint may have
+/// moved from one group to another.
 std::vector<runtime::Address> EndpointSubset::refresh() {
-  const auto before = chosen_;
-  for (const auto& group : changed_) {
-    for (const auto& address : chosen_of_[group]) chosen_.erase(address);
-    chosen_of_.erase(group);
+  const auto before = selected_;
+  for (const auto& group : changed_groups_) {
+    for (const auto& address : selected_by_group_[group]) selected_.erase(address);
+    selected_by_group_.erase(group);
   }
   std::vector<Address> added;
-  for (const auto& group : std::exchange(changed_, {})) {
-    auto chosen = choose(group);
-    for (const auto& address : chosen) {
-      chosen_.insert(address);
+  for (const auto& group : std::exchange(changed_groups_, {})) {
+    auto selected = select(group);
+    for (const auto& address : selected) {
+      selected_.insert(address);
       if (!before.contains(address)) added.push_back(address);
     }
-    if (!chosen.empty()) chosen_of_[group] = std::move(chosen);
+    if (!selected.empty()) selected_by_group_[group] = std::move(selected);
   }
   return added;
 }
--- a/src/sidecar/endpoint_subset.h
+++ b/src/sidecar/endpoint_subset.h
@@ -12,69 +12,75 @@
 
 namespace cometstand::sidecar {
 
-/// The endpoints to which this sidecar links itself: of each version of each service as many as kMostOwnZone
-/// of its own zone and kMostOtherZones of all others, and more of those as far as the own zone has fewer, by
-/// rendezvous hashing (Thaler and Ravishankar, 1998), so that each sidecar has a subset of its own, each
-/// endpoint about as many senders as any other of its service, and one endpoint that comes or goes changes
-/// one link at few sidecars.
+/// The subset of endpoints to which this sidecar opens links. For each version of each service it contains up
+/// to kMaxOwnZoneEndpoints endpoints of the sidecar's own zone and kMaxOtherZoneEndpoints of all other zones
+/// together. If the own zone has fewer endpoints, other zones provide the difference. The selection uses
+/// rendezvous hashing (Thaler and Ravishankar, 1998): each sidecar has its own subset, all endpoints of a
+/// service have about the same number of senders, and adding or removing an endpoint changes one link at few
+/// sidecars.
 ///
-/// It answers a fleet in which links of all to all would take two descriptors a machine at each sidecar, and
-/// as many connects when everything comes back at once. Below the sizes named here it leaves nothing out.
+/// In a large fleet, links between all machines would take two file descriptors per machine at each sidecar,
+/// and as many connection attempts when the whole fleet restarts. For services within the limits below, the
+/// subset contains all endpoints.
 ///
-/// See docs/design/fleet.md for what was weighed.
+/// See docs/design/fleet.md for the alternatives considered.
 class EndpointSubset {
  public:
   using Address = runtime::Address;
 
-  /// Enough that a sender's choice among them is nearly as good as among all: with 32 of 100 endpoints, an
-  /// endpoint's senders vary by 11% (standard deviation, reckoned), and what the choice goes by is told back
-  /// more often by the fewer.
-  static constexpr std::size_t kMostOwnZone = 32;
-  /// Together they bear what the own zone has, once that is gone, evacuated or full.
-  static constexpr std::size_t kMostOtherZones = 32;
-  /// Of each other zone at least so many, whatever their number: a route may be kept to one region, or a
-  /// zone's endpoints be the only ones left.
-  static constexpr std::size_t kLeastOfZone = 2;
+  /// Maximum number of endpoints of the own zone. With 32 of 100 endpoints the expected number of senders per
+  /// endpoint has a standard deviation of 11%, so selection within the subset is nearly as good as among all
+  /// endpoints. With fewer endpoints, each one reports its load to the sender more often.
+  static constexpr std::size_t kMaxOwnZoneEndpoints = 32;
+  /// Maximum number of endpoints of all other zones together. They can take the load of the own zone when
+  /// that zone has failed, is evacuated or is full.
+  static constexpr std::size_t kMaxOtherZoneEndpoints = 32;
+  /// Minimum number of endpoints of each other zone, regardless of the number of zones: a route may be
+  /// restricted to one region, or the endpoints of one zone may be the only ones left.
+  static constexpr std::size_t kMinEndpointsPerZone = 2;
 
-  /// @param node the name of this machine, which makes its subset its own.
+  /// @param node the name of this machine, which is part of the hash input.
   EndpointSubset(std::string node, std::string zone) : node_(std::move(node)), zone_(std::move(zone)) {}
 
-  /// The endpoint may get requests.
+  /// Adds an endpoint that may get requests, or updates its service, version and zone.
   void add(const Address& address, const std::string& service, const std::string& version,
            const std::string& zone);
-  /// The endpoint gets none any more.
+  /// Removes an endpoint that gets no more requests.
   void remove(const Address& address);
-  /// Of these services all endpoints are in the subset: who may get a share of a version has to be the same
-  /// at every sender.
+  /// Sets the services of which all endpoints are in the subset. All senders must consider the same endpoints
+  /// when they select the targets that get the share of a new version.
   void setWhole(std::set<std::string> services);
 
-  bool contains(const Address& address) const { return chosen_.contains(address); }
-  std::size_t size() const { return chosen_.size(); }
-  /// @return what came into the subset since the last call, which brings it up to date.
+  bool contains(const Address& address) const { return selected_.contains(address); }
+  std::size_t size() const { return selected_.size(); }
+  /// Updates the subset to the current endpoints.
+  /// @return the addresses added to the subset since the last call.
   std::vector<Address> refresh();
 
  private:
+  /// Hash value and address; lower values are selected first.
   using Rank = std::pair<std::uint64_t, Address>;
+  /// Service and version.
   using Group = std::pair<std::string, std::string>;
-  /// Endpoints by zone, in the order in which they are chosen.
+  /// Endpoints by zone, in the order of selection.
   using Zones = std::map<std::string, std::set<Rank>>;
-  struct Place {
+  struct Membership {
     Group group;
     std::string zone;
   };
 
   Rank rankOf(const Address& address) const;
-  std::set<Address> choose(const Group& group) const;
+  std::set<Address> select(const Group& group) const;
 
   std::string node_;
   std::string zone_;
-  /// By service and version.
+  /// Endpoints by group.
   std::map<Group, Zones> groups_;
-  std::map<Address, Place> places_;
-  std::map<Group, std::set<Address>> chosen_of_;
-  std::set<Address> chosen_;
-  std::set<Group> changed_;
-  std::set<std::string> whole_;
+  std::map<Address, Membership> memberships_;
+  std::map<Group, std::set<Address>> selected_by_group_;
+  std::set<Address> selected_;
+  std::set<Group> changed_groups_;
+  std::set<std::string> unrestricted_services_;
 };
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/link_share.cpp
+++ b/src/sidecar/link_share.cpp
@@ -6,89 +6,92 @@
 namespace cometstand::sidecar {
 namespace {
 
-/// Time at the sender's rate that may be saved up: what all senders save is this much of the link's time.
-constexpr double kDepthSeconds = 0.25;
-/// Parts of the bucket that are left to those who go before.
-constexpr double kKeptBySecond = 0.25;
-constexpr double kKeptByLast = 0.5;
-/// Between two adaptations of the rate. Reckoned: some round trips between regions, so that a change shows.
+/// Bucket size as seconds at the sender's rate. The full buckets of all senders together hold this many
+/// seconds of the link's capacity.
+constexpr double kBucketSeconds = 0.25;
+/// Parts of the bucket that transfers of TransferClass::Second and TransferClass::Last must leave for the
+/// classes before them.
+constexpr double kReservedFromSecondClass = 0.25;
+constexpr double kReservedFromLastClass = 0.5;
+/// Minimum time between two adaptations of the rate. It covers several round trips between regions, so that
+/// the effect of a change is visible.
 constexpr Duration kAdaptInterval = std::chrono::milliseconds(500);
-/// The usual factors of additive increase and multiplicative decrease, the increase as a share of the rate
-/// after the decrease: back at the old rate after some 4 s without a queue.
-constexpr double kDecrease = 0.7;
-constexpr double kIncrease = 0.05;
-/// Without a ceiling the bound is dropped at so many times the rate to which it fell.
-constexpr double kFreeAgain = 4;
-/// Bytes a second that are always allowed: without any request nothing would be measured.
-constexpr double kLeastRate = 4'000;
+/// Multiplicative decrease and additive increase of the rate, the increase as a share of the rate after the
+/// decrease. Without a queue the previous rate is restored after about 4 s.
+constexpr double kDecreaseFactor = 0.7;
+constexpr double kIncreaseShare = 0.05;
+/// Without a ceiling, multiple of the rate after the decrease at which the limit is removed.
+constexpr double kLimitRemovalFactor = 4;
+/// Minimum rate in bytes per second. Without any requests, the link's round-trip time would not be known.
+constexpr double kMinBytesPerSecond = 4'000;
 
-double keptOf(TransferClass kind) {
+double reservedFrom(TransferClass kind) {
   switch (kind) {
     case TransferClass::First:
       return 0;
     case TransferClass::Second:
-      return kKeptBySecond;
+      return kReservedFromSecondClass;
     case TransferClass::Last:
-      return kKeptByLast;
+      return kReservedFromLastClass;
   }
-  return kKeptByLast;
+  return kReservedFromLastClass;
 }
 
 double secondsOf(Duration time) { return std::chrono::duration<double>(time).count(); }
 
 }  // namespace
 
-double LinkShare::rate() const { return std::min(ceiling_, reduced_.value_or(kUnbounded)); }
+double LinkShare::rate() const { return std::min(ceiling_, reduced_rate_.value_or(kUnbounded)); }
 
-double LinkShare::depth() const { return rate() * kDepthSeconds; }
+double LinkShare::bucketBytes() const { return rate() * kBucketSeconds; }
 
 void LinkShare::refill(TimePoint now) {
   if (std::isinf(rate())) {
-    filled_at_.reset();
+    refilled_at_.reset();
     return;
   }
-  // A bucket that was not bounded until now begins full.
-  tokens_ = filled_at_ ? tokens_ + rate() * secondsOf(now - *filled_at_) : depth();
-  tokens_ = std::min(tokens_, depth());
-  filled_at_ = now;
+  // A bucket that has just become limited starts full.
+  tokens_ = refilled_at_ ? tokens_ + rate() * secondsOf(now - *refilled_at_) : bucketBytes();
+  tokens_ = std::min(tokens_, bucketBytes());
+  refilled_at_ = now;
 }
 
 bool LinkShare::admits(std::size_t bytes, TransferClass kind, TimePoint now) {
   refill(now);
-  if (!filled_at_) return true;
-  const double wanted = static_cast<double>(bytes) + keptOf(kind) * depth();
-  return tokens_ >= std::min(wanted, depth());
+  if (!refilled_at_) return true;
+  const double wanted = static_cast<double>(bytes) + reservedFrom(kind) * bucketBytes();
+  return tokens_ >= std::min(wanted, bucketBytes());
 }
 
 void LinkShare::take(std::size_t bytes, TimePoint now) { settle(static_cast<double>(bytes), now); }
 
 void LinkShare::settle(double more_bytes, TimePoint now) {
   refill(now);
-  used_ += more_bytes;
-  if (filled_at_) tokens_ -= more_bytes;
+  used_bytes_ += more_bytes;
+  if (refilled_at_) tokens_ -= more_bytes;
 }
 
 bool LinkShare::adapt(bool is_queued, TimePoint now) {
   if (!adapted_at_) adapted_at_ = now;
   const Duration span = now - *adapted_at_;
   if (span < kAdaptInterval) return false;
-  const double used_rate = std::max(0.0, used_) / secondsOf(span);
+  const double used_rate = std::max(0.0, used_bytes_) / secondsOf(span);
   adapted_at_ = now;
-  used_ = 0;
+  used_bytes_ = 0;
   if (!is_queued) {
     recover();
     return false;
   }
-  const bool is_first = !reduced_;
-  reduced_to_ = std::max(kLeastRate, kDecrease * std::min(rate(), used_rate));
-  reduced_ = reduced_to_;
-  return is_first;
+  const bool is_newly_reduced = !reduced_rate_;
+  rate_after_decrease_ = std::max(kMinBytesPerSecond, kDecreaseFactor * std::min(rate(), used_rate));
+  reduced_rate_ = rate_after_decrease_;
+  return is_newly_reduced;
 }
 
 void LinkShare::recover() {
-  if (!reduced_) return;
-  *reduced_ += kIncrease * reduced_to_;
-  if (*reduced_ >= std::min(ceiling_, kFreeAgain * reduced_to_)) reduced_.reset();
+  if (!reduced_rate_) return;
+  *reduced_rate_ += kIncreaseShare * rate_after_decrease_;
+  if (*reduced_rate_ >= std::min(ceiling_, kLimitRemovalFactor * rate_after_decrease_)) reduced_rate_.reset();
 }
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/link_share.h
+++ b/src/sidecar/link_share.h
@@ -9,55 +9,57 @@
 
 namespace cometstand::sidecar {
 
-/// How readily a request gives way to others that want the same bytes.
+/// Priority of a request when the tokens of a link share run low.
 enum class TransferClass : std::uint8_t {
-  /// Urgent and small: may use all that is left.
+  /// Urgent and small requests, which may use all tokens.
   First,
-  /// Urgent, or small.
+  /// Requests that are either urgent or small.
   Second,
-  /// Neither.
+  /// Requests that are neither urgent nor small.
   Last
 };
 
-/// One sender's share of a link that many senders use: a token bucket of bytes, whose rate never exceeds the
-/// ceiling and falls while the link shows a queue (additive increase, multiplicative decrease).
+/// One sender's share of a link that many senders use. It is a token bucket of bytes whose rate never exceeds
+/// the ceiling and is reduced while the link has a queue (additive increase, multiplicative decrease).
 class LinkShare {
  public:
-  /// Of a link without a known capacity.
+  /// Rate of a link without a known capacity.
   static constexpr double kUnbounded = std::numeric_limits<double>::infinity();
 
-  /// @param rate bytes a second that this sender may use at most.
+  /// @param rate the maximum rate of this sender in bytes per second.
   void setCeiling(double rate) { ceiling_ = rate; }
 
-  /// @return true if a transfer of that size may begin now. One that is larger than the bucket needs a full
-  /// one, and is paid off afterwards.
+  /// @return true if a transfer of that size may begin now. A transfer larger than the bucket requires a full
+  /// bucket, and its excess leaves a negative token balance.
   bool admits(std::size_t bytes, TransferClass kind, TimePoint now);
+  /// Takes the tokens for a transfer of that size.
   void take(std::size_t bytes, TimePoint now);
-  /// The transfer was larger (or smaller, below zero) than was taken for it.
+  /// Corrects the tokens taken for a transfer by the difference to its actual size.
+  /// @param more_bytes the actual bytes less the bytes taken; negative for a smaller transfer.
   void settle(double more_bytes, TimePoint now);
 
-  /// Adapts the rate, at most once an interval; to be called with each answer.
-  /// @param is_queued the link shows a queue.
-  /// @return true if the rate falls below its ceiling by this.
+  /// Adapts the rate, at most once per kAdaptInterval. Must be called for each response.
+  /// @param is_queued the link has a queue.
+  /// @return true if this call starts a reduction of the rate below its ceiling.
   bool adapt(bool is_queued, TimePoint now);
 
-  /// @return bytes a second; kUnbounded if there is no bound.
+  /// @return the rate in bytes per second; kUnbounded if there is no limit.
   double rate() const;
 
  private:
   void refill(TimePoint now);
-  double depth() const;
+  double bucketBytes() const;
   void recover();
 
   double ceiling_ = kUnbounded;
-  /// The rate since the link last showed a queue.
-  std::optional<double> reduced_;
-  /// The rate to which reduced_ fell.
-  double reduced_to_ = 0;
+  /// Limit of the rate while it recovers from a queue on the link.
+  std::optional<double> reduced_rate_;
+  /// Value of reduced_rate_ after the latest decrease.
+  double rate_after_decrease_ = 0;
   double tokens_ = 0;
-  std::optional<TimePoint> filled_at_;
-  /// Since the last adaptation.
-  double used_ = 0;
+  std::optional<TimePoint> refilled_at_;
+  /// Bytes used since the last adaptation.
+  double used_bytes_ = 0;
   std::optional<TimePoint> adapted_at_;
 };
 
--- a/src/sidecar/load_estimate.h
+++ b/src/sidecar/load_estimate.h
@@ -9,13 +9,13 @@
 
 struct Endpoint;
 
-/// @return how much the endpoint's latest report still counts, from 1 for a new one to 0.
-/// @param half_life a report of this age counts half.
-double trustIn(const Endpoint& endpoint, Duration half_life, TimePoint now);
+/// @return the weight of the endpoint's latest report, which falls from 1 for a new report towards 0.
+/// @param half_life the age at which a report has weight 0.5.
+double reportWeight(const Endpoint& endpoint, Duration half_life, TimePoint now);
 
-/// What the reports of several endpoints of one service tell together, made anew for each choice. In a large
-/// fleet a sender hears of each endpoint seldom, so an old report says less than the newer ones of its
-/// neighbours.
+/// Load estimate from the combined reports of the endpoints of one service, built for each endpoint
+/// selection. In a large fleet a sender gets reports of each endpoint rarely, so the newer reports of other
+/// endpoints in the zone are better evidence than an old report of the endpoint itself.
 class LoadEstimate {
  public:
   explicit LoadEstimate(TimePoint now) : now_(now) {}
@@ -23,18 +23,18 @@
   /// @param endpoint must outlive the estimate.
   void add(const Endpoint& endpoint);
 
-  /// @return the share of the slots that is free on average, from 0 to 1.
-  double freeShare() const;
+  /// @return the mean share of free slots, from 0 to 1.
+  double freeSlotShare() const;
 
-  /// @return the mean run time as a share of the objective; 0 if none is known.
+  /// @return the mean run time as a share of the latency objective; 0 if no run time is known.
   double meanRunTime() const;
 
-  /// @return requests at the endpoint: what it reported as far as that is new, else what its zone has on
-  /// average, but never less than this sender sent there.
-  double requestsAt(const Endpoint& endpoint) const;
+  /// @return the estimated requests at the endpoint: its own report, blended with the mean of its zone as the
+  /// report ages, and never less than this sender's requests in flight there.
+  double estimatedRequests(const Endpoint& endpoint) const;
 
  private:
-  /// A mean in which newer reports count more.
+  /// Mean that is weighted by the age of the reports.
   struct Mean {
     double sum = 0;
     double weights = 0;
@@ -42,10 +42,10 @@
 
   TimePoint now_;
   Mean run_time_;
-  /// Requests by slot, of all zones.
+  /// Requests per slot over all zones.
   Mean mean_load_;
-  /// Requests by slot, by zone.
-  std::map<std::string_view, Mean> load_;
+  /// Requests per slot, by zone.
+  std::map<std::string_view, Mean> zone_load_;
 };
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/rollout_view.cpp
+++ b/src/sidecar/rollout_view.cpp
@@ -17,7 +17,7 @@
 }  // namespace
 
 void RolloutView::apply(const wire::RolloutUpdateT& update, TimePoint now) {
-  heard_at_ = now;
+  updated_at_ = now;
   leader_.reset();
   if (update.leader != nullptr) leader_ = runtime::Address{update.leader->host, update.leader->port};
   for (const auto& record : update.records) {
@@ -28,13 +28,13 @@
 }
 
 void RolloutView::noteVersion(const std::string& service, const std::string& version, TimePoint now) {
-  if (!version.empty()) seen_[service].try_emplace(version, now);
+  if (!version.empty()) first_seen_[service].try_emplace(version, now);
 }
 
 const wire::RolloutRecordT* RolloutView::running(const std::string& service) const {
   const auto found = records_.find(service);
-  const bool runs = found != records_.end() && !isOver(found->second.phase);
-  return runs ? &found->second : nullptr;
+  const bool is_running = found != records_.end() && !isOver(found->second.phase);
+  return is_running ? &found->second : nullptr;
 }
 
 std::set<std::string> RolloutView::servicesInRollout() const {
@@ -50,22 +50,23 @@
   return record != nullptr && record->phase == Phase::Canary;
 }
 
-bool RolloutView::isOnProbation(const std::string& service, const std::string& version, TimePoint now) const {
-  const auto versions = seen_.find(service);
-  if (versions == seen_.end()) return false;
+bool RolloutView::isWithinNewVersionDelay(const std::string& service, const std::string& version,
+                                          TimePoint now) const {
+  const auto versions = first_seen_.find(service);
+  if (versions == first_seen_.end()) return false;
   const auto own = versions->second.find(version);
-  if (own == versions->second.end() || now >= own->second + kProbation) return false;
+  if (own == versions->second.end() || now >= own->second + kNewVersionDelay) return false;
   return std::any_of(versions->second.begin(), versions->second.end(),
                      [&own](const auto& other) { return other.second < own->second; });
 }
 
-VersionFilter RolloutView::filterFor(const std::string& service, bool first_sending, RandomSource& random,
+VersionFilter RolloutView::filterFor(const std::string& service, bool is_first_attempt, RandomSource& random,
                                      TimePoint now) const {
   VersionFilter filter;
-  const auto versions = seen_.find(service);
-  if (versions == seen_.end()) return filter;
+  const auto versions = first_seen_.find(service);
+  if (versions == first_seen_.end()) return filter;
   for (const auto& [version, since] : versions->second) {
-    if (isOnProbation(service, version, now)) filter.closed.push_back(version);
+    if (isWithinNewVersionDelay(service, version, now)) filter.closed.push_back(version);
   }
   const auto found = records_.find(service);
   if (found == records_.end()) return filter;
@@ -75,14 +76,14 @@
   if (isWithdrawn(record.phase)) {
     filter.closed.push_back(record.version);
   } else if (record.phase == Phase::Canary) {
-    const bool is_drawn =
-        first_sending && hasLease(now) && random.uniform(0, kThousand - 1) < record.canary_permille;
-    filter.pool = is_drawn ? VersionFilter::Pool::Canary : VersionFilter::Pool::Stable;
+    const bool gets_canary =
+        is_first_attempt && hasLease(now) && random.uniform(0, kThousand - 1) < record.canary_permille;
+    filter.pool = gets_canary ? VersionFilter::Pool::Canary : VersionFilter::Pool::Stable;
     filter.canary_permille = record.canary_permille;
   } else {
     filter.closed.insert(filter.closed.end(), record.replaced_versions.begin(),
                          record.replaced_versions.end());
-    // A version that came up meanwhile was not promoted either.
+    // Other versions that appeared during the roll-out are not promoted, so only the new version is admitted.
     if (record.phase == Phase::Promoting) filter.pool = VersionFilter::Pool::Canary;
     filter.canary_permille = kThousand;
   }
@@ -111,9 +112,9 @@
 }
 
 TimePoint RolloutView::leaseEnd() const {
-  const bool runs = std::any_of(records_.begin(), records_.end(),
-                                [](const auto& item) { return !isOver(item.second.phase); });
-  return runs ? heard_at_ + kLease : TimePoint::max();
+  const bool is_running = std::any_of(records_.begin(), records_.end(),
+                                      [](const auto& item) { return !isOver(item.second.phase); });
+  return is_running ? updated_at_ + kLeaseDuration : TimePoint::max();
 }
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/rollout_view.h
+++ b/src/sidecar/rollout_view.h
@@ -12,52 +12,54 @@
 
 namespace cometstand::sidecar {
 
-/// What this sidecar knows of roll-outs, and what follows from it for the requests it sends and for the
-/// target beside it. All times by this machine's steady clock.
+/// The roll-outs known to this sidecar. Determines which versions get the requests that it sends and whether
+/// the local target accepts requests. All times are of this machine's steady clock.
 ///
 /// Invariants:
-/// - What it knows of a roll-out only goes forward, whatever comes late.
-/// - A new version gets requests only within kLease of a store's word on its roll-out.
+/// - The state of a roll-out never reverts to an older one; late updates are ignored.
+/// - A canary gets requests only within kLeaseDuration of the latest roll-out update from a store.
 class RolloutView {
  public:
-  /// Without a store's word for this long, nothing is sent to a version that is not promoted. Five times the
-  /// interval of those words (store::NodeHub), so that one or two may be late.
-  static constexpr Duration kLease = std::chrono::milliseconds(1'500);
-  /// A version that comes up beside others gets nothing for this long: an order of a roll-out to it may be on
-  /// its way. About what a change takes to reach a sidecar whose store lags.
-  static constexpr Duration kProbation = std::chrono::milliseconds(1'500);
+  /// Time after the latest update from a store at which a version that is not promoted gets no more requests.
+  /// It is five times the interval of the updates (store::NodeHub), so that one or two may be late.
+  static constexpr Duration kLeaseDuration = std::chrono::milliseconds(1'500);
+  /// Time for which a version that appears beside others gets no requests, since an update on its roll-out
+  /// may not have arrived yet. It is about the time that a change takes to reach a sidecar whose store lags.
+  static constexpr Duration kNewVersionDelay = std::chrono::milliseconds(1'500);
 
   void apply(const wire::RolloutUpdateT& update, TimePoint now);
-  /// An endpoint of the service says this version.
+  /// Records a version that an endpoint of the service reports.
   void noteVersion(const std::string& service, const std::string& version, TimePoint now);
 
-  /// @param first_sending the request was not sent anywhere yet: only then the canary may get it.
-  VersionFilter filterFor(const std::string& service, bool first_sending, RandomSource& random,
+  /// @param is_first_attempt the request has not been sent before; only then the canary may get it.
+  VersionFilter filterFor(const std::string& service, bool is_first_attempt, RandomSource& random,
                           TimePoint now) const;
-  /// @return true if a target of the version gets no new requests.
+  /// @return true if targets of the version accept no new requests.
   bool isClosed(const std::string& service, const std::string& version, TimePoint now) const;
 
-  /// @return the service's roll-out that is not over; nullptr if there is none.
+  /// @return the service's running roll-out; nullptr if there is none.
   const wire::RolloutRecordT* running(const std::string& service) const;
-  /// @return the services with such a one.
+  /// @return the services with a running roll-out.
   std::set<std::string> servicesInRollout() const;
-  /// @return true while the service's new version gets a share only.
+  /// @return true if the service's running roll-out is in the canary phase, in which the new version gets
+  /// only a share of the requests.
   bool isCanary(const std::string& service) const;
-  /// @return where reports go.
+  /// @return the address of the store to which roll-out reports are sent, if known.
   const std::optional<runtime::Address>& leader() const { return leader_; }
-  /// @return when isClosed() may change by itself.
+  /// @return the time at which the lease of running roll-outs ends, which may change the result of
+  /// isClosed(); TimePoint::max() if no roll-out is running.
   TimePoint leaseEnd() const;
 
  private:
-  bool hasLease(TimePoint now) const { return now < heard_at_ + kLease; }
-  bool isOnProbation(const std::string& service, const std::string& version, TimePoint now) const;
+  bool hasLease(TimePoint now) const { return now < updated_at_ + kLeaseDuration; }
+  bool isWithinNewVersionDelay(const std::string& service, const std::string& version, TimePoint now) const;
 
-  /// The newest roll-out by service.
+  /// Newest roll-out by service.
   std::map<std::string, wire::RolloutRecordT> records_;
   std::optional<runtime::Address> leader_;
-  TimePoint heard_at_;
-  /// When each version of each service was first seen. Empty ones are left out.
-  std::map<std::string, std::map<std::string, TimePoint>> seen_;
+  TimePoint updated_at_;
+  /// Time at which each version was first seen, by service and version. Empty versions are left out.
+  std::map<std::string, std::map<std::string, TimePoint>> first_seen_;
 };
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/zone_evacuations.h
+++ b/src/sidecar/zone_evacuations.h
@@ -8,17 +8,18 @@
 
 namespace cometstand::sidecar {
 
-/// The zones whose targets get no requests, as the stores tell this sidecar.
+/// The evacuated zones, whose targets get no requests, according to the updates of the stores.
 ///
-/// Invariant: what it knows only goes forward, whatever comes late.
+/// Invariant: the state never reverts to an older one; late updates are ignored.
 class ZoneEvacuations {
  public:
-  /// Takes a store's word over, unless a newer one is known. @return true if anything changed.
+  /// Applies an update of a store unless a newer one is known.
+  /// @return true if the set of evacuated zones changed.
   bool apply(const wire::EvacuationUpdateT& update);
 
   bool isEvacuated(const std::string& zone) const { return zones_.contains(zone); }
   const std::set<std::string>& zones() const { return zones_; }
-  /// Number of the newest change that is known; 0 for none.
+  /// @return the number of the newest known change; 0 if there is none.
   std::uint64_t number() const { return number_; }
 
  private:
--- a/src/sidecar/zone_health.cpp
+++ b/src/sidecar/zone_health.cpp
@@ -8,52 +8,53 @@
 namespace cometstand::sidecar {
 namespace {
 
-/// The least that tells a zone from a machine.
-constexpr std::size_t kFewestMissed = 2;
-/// Links to the machines of a zone end, and requests there fall silent, within about a second of a cut.
-constexpr Duration kMissedWindow = std::chrono::seconds(1);
-/// Between two probes at first, and at most: each may cost its caller the time of the request. Reckoned: with
-/// 300 sidecars the zone gets 300 requests a second at first, and 75 a second later on.
-constexpr Duration kFirstProbePause = std::chrono::seconds(1);
-constexpr Duration kLongestProbePause = std::chrono::seconds(4);
+/// Minimum number of failed machines that distinguishes the failure of a zone from that of one machine.
+constexpr std::size_t kMinFailedHosts = 2;
+/// Time window in which the failures must occur. When a zone is cut off, the links to its machines end and
+/// requests sent there become overdue within about one second.
+constexpr Duration kFailureWindow = std::chrono::seconds(1);
+/// Initial and maximum interval between two probes. Each probe may cost its caller the timeout of the
+/// request. With 300 sidecars the zone gets 300 probes per second at first and 75 per second later.
+constexpr Duration kInitialProbeInterval = std::chrono::seconds(1);
+constexpr Duration kMaxProbeInterval = std::chrono::seconds(4);
 
 }  // namespace
 
-void ZoneHealth::noteHeard(const std::string& zone, TimePoint now) {
+void ZoneHealth::noteContact(const std::string& zone, TimePoint now) {
   auto& state = zones_[zone];
-  if (state.is_dark) logEvent(kZoneHeard, {{"zone", zone}});
+  if (state.is_unresponsive) logEvent(kZoneHeard, {{"zone", zone}});
   state = Zone();
-  state.heard_at = now;
+  state.last_contact_at = now;
 }
 
-void ZoneHealth::noteMissed(const std::string& zone, const std::string& host, TimePoint missed_at) {
+void ZoneHealth::noteFailure(const std::string& zone, const std::string& host, TimePoint failed_at) {
   if (zone == own_zone_) return;
   auto& state = zones_[zone];
-  if (state.is_dark || missed_at <= state.heard_at) return;
-  std::erase_if(state.missed,
-                [missed_at](const auto& item) { return item.second + kMissedWindow < missed_at; });
-  state.missed.emplace(host, missed_at);
-  if (state.missed.size() < kFewestMissed) return;
-  state.is_dark = true;
-  state.probe_pause = kFirstProbePause;
-  state.probe_at = missed_at + state.probe_pause;
-  logEvent(kZoneDark, {{"zone", zone}, {"missed", state.missed.size()}});
+  if (state.is_unresponsive || failed_at <= state.last_contact_at) return;
+  std::erase_if(state.failed_hosts,
+                [failed_at](const auto& item) { return item.second + kFailureWindow < failed_at; });
+  state.failed_hosts.emplace(host, failed_at);
+  if (state.failed_hosts.size() < kMinFailedHosts) return;
+  state.is_unresponsive = true;
+  state.probe_interval = kInitialProbeInterval;
+  state.next_probe_at = failed_at + state.probe_interval;
+  logEvent(kZoneDark, {{"zone", zone}, {"missed", state.failed_hosts.size()}});
 }
 
-bool ZoneHealth::isDark(const std::string& zone) const {
+bool ZoneHealth::isUnresponsive(const std::string& zone) const {
   const auto found = zones_.find(zone);
-  return found != zones_.end() && found->second.is_dark;
+  return found != zones_.end() && found->second.is_unresponsive;
 }
 
-bool ZoneHealth::wantsProbe(const std::string& zone, TimePoint now) const {
+bool ZoneHealth::isProbeDue(const std::string& zone, TimePoint now) const {
   const auto found = zones_.find(zone);
-  return found != zones_.end() && found->second.is_dark && now >= found->second.probe_at;
+  return found != zones_.end() && found->second.is_unresponsive && now >= found->second.next_probe_at;
 }
 
 void ZoneHealth::noteProbe(const std::string& zone, TimePoint now) {
   auto& state = zones_.at(zone);
-  state.probe_at = now + state.probe_pause;
-  state.probe_pause = std::min(2 * state.probe_pause, kLongestProbePause);
+  state.next_probe_at = now + state.probe_interval;
+  state.probe_interval = std::min(2 * state.probe_interval, kMaxProbeInterval);
 }
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/zone_health.h
+++ b/src/sidecar/zone_health.h
@@ -8,43 +8,43 @@
 
 namespace cometstand::sidecar {
 
-/// Which zones do not answer this sidecar any more. A zone that loses power or is cut off takes many
-/// endpoints with it at once; asking each until its own time is up would cost one request each.
+/// Detects zones that no longer respond to this sidecar. A zone that loses power or connectivity takes many
+/// endpoints down at once; without this detection each endpoint would cost one request that times out.
 ///
-/// A zone is dark once two of its machines were missed within a second, each by an ended link or by silence,
-/// and none of the zone was heard since the first of them. It is dark until any of its endpoints is heard.
-/// Meanwhile one request at a time may be sent there to find out (a probe), ever more rarely while that
-/// brings no answer. The zone of this sidecar is never dark: if it does not answer, this machine is what is
-/// cut off.
+/// A zone is unresponsive once two of its machines have failed within one second, each by a closed link or an
+/// overdue reply, and no endpoint of the zone has made contact since the first failure. Contact with any
+/// endpoint of the zone ends this state. Until then single requests are sent to the zone as probes, at
+/// increasing intervals as long as they get no reply. The zone of this sidecar is never unresponsive: if it
+/// does not respond, this machine itself is cut off.
 ///
-/// All of it is this sidecar's own view: nothing is told to others.
+/// The state is local to this sidecar and is not shared with others.
 class ZoneHealth {
  public:
   /// @param own_zone the zone of this sidecar.
   explicit ZoneHealth(std::string own_zone) : own_zone_(std::move(own_zone)) {}
 
-  /// An endpoint of the zone answered, or the link to it was opened.
-  void noteHeard(const std::string& zone, TimePoint now);
-  /// The link to a live endpoint of the zone ended, or the endpoint is silent on requests that it has. May be
-  /// called again and again while it is silent.
-  /// @param host the machine of the endpoint. @param missed_at when the link ended, or the silence had become
-  /// too long. Without effect if the zone was heard since.
-  void noteMissed(const std::string& zone, const std::string& host, TimePoint missed_at);
-
-  bool isDark(const std::string& zone) const;
-  /// @return true if the zone is dark and the next probe is due.
-  bool wantsProbe(const std::string& zone, TimePoint now) const;
-  /// A request is sent to the dark zone.
+  /// Records that an endpoint of the zone replied or that a link to one was opened.
+  void noteContact(const std::string& zone, TimePoint now);
+  /// Records that the link to a live endpoint of the zone ended or that the endpoint's reply is overdue. May
+  /// be called repeatedly while the reply is overdue. Has no effect if there was contact with the zone since.
+  /// @param host the machine of the endpoint.
+  /// @param failed_at the time at which the link ended or the reply became overdue.
+  void noteFailure(const std::string& zone, const std::string& host, TimePoint failed_at);
+
+  bool isUnresponsive(const std::string& zone) const;
+  /// @return true if the zone is unresponsive and the next probe is due.
+  bool isProbeDue(const std::string& zone, TimePoint now) const;
+  /// Records that a request is sent to the unresponsive zone as a probe.
   void noteProbe(const std::string& zone, TimePoint now);
 
  private:
   struct Zone {
-    TimePoint heard_at;
-    /// Machines that were missed lately and since the zone was last heard, and when.
-    std::map<std::string, TimePoint> missed;
-    bool is_dark = false;
-    TimePoint probe_at;
-    Duration probe_pause{};
+    TimePoint last_contact_at;
+    /// Machines that failed recently and after the last contact with the zone, with the time of failure.
+    std::map<std::string, TimePoint> failed_hosts;
+    bool is_unresponsive = false;
+    TimePoint next_probe_at;
+    Duration probe_interval{};
   };
 
   std::string own_zone_;
--- a/tests/sidecar/distance_cost_test.cpp
+++ b/tests/sidecar/distance_cost_test.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(DistanceFixture, "the own zone costs nothing, the own region less than another one") {
+TEST_CASE_METHOD(DistanceFixture, "the own zone costs nothing, and the own region less than another region") {
   want.patience = milliseconds(150);
   want.bytes = GENERATE(0, 400, 90'000);
   CHECK(costOf("east-a") == 0);
@@ -39,7 +39,7 @@
   CHECK(costOf("west-a") > costOf("east-b"));
 }
 
-TEST_CASE_METHOD(DistanceFixture, "without regions another zone costs what it cost before there were any") {
+TEST_CASE_METHOD(DistanceFixture, "without configured regions another zone costs its zone cost only") {
   options.zones = mesh::ZoneMap();
   want.patience = milliseconds(150);
   want.bytes = 400;
@@ -47,27 +47,27 @@
   CHECK(costOf("west-a") == options.zone_cost.of(400));
 }
 
-TEST_CASE_METHOD(DistanceFixture, "the shorter a request may wait, the more another region costs") {
+TEST_CASE_METHOD(DistanceFixture, "the cost of another region rises as the request's maximum wait falls") {
   want.patience = milliseconds(150);
-  const double patient = costOf("west-a");
+  const double long_wait_cost = costOf("west-a");
   want.patience = milliseconds(30);
-  CHECK(costOf("west-a") > patient + 1);
+  CHECK(costOf("west-a") > long_wait_cost + 1);
 }
 
-TEST_CASE_METHOD(DistanceFixture, "the way counts less once requests are refused, bytes do not") {
+TEST_CASE_METHOD(DistanceFixture, "refused requests lower the round-trip cost but not the bytes cost") {
   want.patience = milliseconds(150);
   const double served = costOf("west-a");
   want.refused_share = 0.02;
-  const double partly = costOf("west-a");
+  const double partly_refused = costOf("west-a");
   want.refused_share = 1;
-  CHECK(partly < served);
-  CHECK(costOf("west-a") < partly);
+  CHECK(partly_refused < served);
+  CHECK(costOf("west-a") < partly_refused);
   CHECK(costOf("west-a") > 0);
   want.bytes = 90'000;
   CHECK(costOf("west-a") > 90'000 / options.region_bytes_per_target);
 }
 
-TEST_CASE_METHOD(DistanceFixture, "a measured round trip counts in place of the settings'") {
+TEST_CASE_METHOD(DistanceFixture, "a measured round trip replaces the configured round trip") {
   want.patience = milliseconds(150);
   const double by_setting = costOf("west-a");
   Endpoint west;
@@ -80,7 +80,7 @@
   CHECK(costOf("west-a") == by_setting);
 }
 
-TEST_CASE_METHOD(DistanceFixture, "senders of a region share the link's capacity evenly") {
+TEST_CASE_METHOD(DistanceFixture, "the senders of a region share the link capacity evenly") {
   options.region_link_bandwidth = 1'000'000;
   links.setSenders(10);
   Endpoint west;
@@ -93,8 +93,8 @@
     links.onSent(west, want.bytes, now);
     ++admitted;
   }
-  // Requests with what they take besides their bodies; half of the link belongs to the other region's
-  // senders.
+  // Each request is counted with its overhead besides the body. Half of the link capacity is reserved for the
+  // senders of the other region.
   CHECK(admitted * 1'400 < 500'000);
   CHECK(admitted * 1'400 > 300'000);
   Endpoint near;
@@ -103,13 +103,14 @@
   CHECK(links.admits(near, want, now));
 }
 
-TEST_CASE_METHOD(DistanceFixture, "a machine whose own link is slow sees no queue between the regions") {
+TEST_CASE_METHOD(DistanceFixture,
+                 "a slow link of the sender's machine is not taken for a queue between regions") {
   const std::string slow_zone = GENERATE("", "east-b");
   Endpoint west;
   west.zone = "west-a";
   Endpoint near;
   near.zone = "east-b";
-  const auto pass = [&](Duration west_time, Duration near_time) {
+  const auto exchange = [&](Duration west_time, Duration near_time) {
     Transfer transfer;
     transfer.round_trip = near_time;
     links.onEnded(near, transfer, now);
@@ -118,9 +119,9 @@
     links.onEnded(west, transfer, now);
     now += milliseconds(20);
   };
-  for (int i = 0; i < 50; ++i) pass(milliseconds(60), milliseconds(1));
+  for (int i = 0; i < 50; ++i) exchange(milliseconds(60), milliseconds(1));
   const bool is_own_link = !slow_zone.empty();
-  for (int i = 0; i < 100; ++i) pass(milliseconds(160), milliseconds(is_own_link ? 101 : 1));
+  for (int i = 0; i < 100; ++i) exchange(milliseconds(160), milliseconds(is_own_link ? 101 : 1));
   CHECK((links.rates().at("west") == LinkShare::kUnbounded) == is_own_link);
 }
 
--- a/tests/sidecar/endpoint_directory_test.cpp
+++ b/tests/sidecar/endpoint_directory_test.cpp
@@ -13,9 +13,9 @@
 const runtime::Address kFast{"10.0.0.2", 7000};
 const runtime::Address kSlow{"10.0.0.3", 7000};
 constexpr unsigned kSlots = 6;
-constexpr int kDraws = 100;
+constexpr int kSelections = 100;
 
-/// Two live endpoints of one service in the zone of the sidecar.
+/// Endpoint directory with two live endpoints of one service in the sidecar's zone.
 class DirectoryFixture {
  public:
   DirectoryFixture() {
@@ -42,13 +42,13 @@
     directory.onReply(*directory.find(address), reply, now);
   }
 
-  /// @return how many of kDraws requests go to the address.
-  int drawsOf(const runtime::Address& address, std::size_t bytes = 0) {
+  /// @return how many of kSelections requests are sent to the address.
+  int selectionsOf(const runtime::Address& address, std::size_t bytes = 0) {
     int count = 0;
-    for (int i = 0; i < kDraws; ++i) {
-      const auto* chosen = directory.choose({"shop", bytes}, {}, random, now);
-      REQUIRE(chosen != nullptr);
-      if (chosen->address == address) ++count;
+    for (int i = 0; i < kSelections; ++i) {
+      const auto* selected = directory.choose({"shop", bytes}, {}, random, now);
+      REQUIRE(selected != nullptr);
+      if (selected->address == address) ++count;
     }
     return count;
   }
@@ -68,24 +68,24 @@
 
 }  // namespace
 
-// steppe-record, quiet-1: half of the requests of a zone went to a target that takes more than twice as long
-// as the other one.
-TEST_CASE("of two idle endpoints the faster one is chosen, a slower idle one before a faster full one") {
+// Guards against a selection that ignores run times: half of the requests of a zone were sent to a target
+// that took more than twice as long as the other one.
+TEST_CASE("a faster idle endpoint is preferred to a slower one, and a slower idle one to a faster full one") {
   DirectoryFixture fixture;
   fixture.report(kFast, 250);
   fixture.report(kSlow, 600);
-  CHECK(fixture.drawsOf(kFast) == kDraws);
+  CHECK(fixture.selectionsOf(kFast) == kSelections);
   fixture.report(kFast, 250, kSlots * 2);
-  CHECK(fixture.drawsOf(kSlow) == kDraws);
+  CHECK(fixture.selectionsOf(kSlow) == kSelections);
 }
 
-// wn-mesh-grown: with run time as a factor of the load, the faster targets stayed first until they had
-// queues, and requests were refused there while slots of slower ones were free.
-TEST_CASE("slower endpoints get their share once all are busy") {
+// Guards against scaling the load by the run time: faster targets were then preferred until they had queues,
+// and refused requests while slower targets had free slots.
+TEST_CASE("slower endpoints get their share of requests once all are busy") {
   DirectoryFixture fixture;
   fixture.report(kFast, 250, kSlots);
   fixture.report(kSlow, 600, kSlots);
-  CHECK(fixture.drawsOf(kSlow) > kDraws / 5);
+  CHECK(fixture.selectionsOf(kSlow) > kSelections / 5);
 }
 
 TEST_CASE("an endpoint that was slow is tried again after a while") {
@@ -94,22 +94,23 @@
   fixture.now += std::chrono::minutes(2);
   fixture.report(kFast, 250);
   fixture.report(kFast, 250);
-  CHECK(fixture.drawsOf(kSlow) > 0);
+  CHECK(fixture.selectionsOf(kSlow) > 0);
 }
 
-// steppe-record: uploads of 60 KB went to other zones as readily as answers of 400 bytes.
-TEST_CASE("the more bytes a request moves, the longer it stays in its own zone") {
+// Guards against a zone cost that ignores size: uploads of 60 KB were sent to other zones as often as
+// requests with responses of 400 bytes.
+TEST_CASE("requests that transfer more bytes are more likely to stay in their own zone") {
   DirectoryFixture fixture;
   fixture.directory.find(kSlow)->zone = "zone-b";
-  // The near one has two slots' more work than the far one.
+  // The endpoint in the own zone has three more requests than the one in the other zone.
   fixture.report(kFast, 250, 3);
   fixture.report(kSlow, 250, 0);
-  CHECK(fixture.drawsOf(kFast, 0) < kDraws);
-  CHECK(fixture.drawsOf(kFast, 60'000) == kDraws);
-  CHECK(fixture.drawsOf(kFast, 0) < fixture.drawsOf(kFast, 3'000));
+  CHECK(fixture.selectionsOf(kFast, 0) < kSelections);
+  CHECK(fixture.selectionsOf(kFast, 60'000) == kSelections);
+  CHECK(fixture.selectionsOf(kFast, 0) < fixture.selectionsOf(kFast, 3'000));
 }
 
-TEST_CASE("what is known of an endpoint's target ends with the target", "[incarnation]") {
+TEST_CASE("the reported state of an endpoint is cleared when its target is replaced", "[incarnation]") {
   DirectoryFixture fixture;
   fixture.report(kFast, 250, 20);
   auto* endpoint = fixture.directory.find(kFast);
@@ -134,37 +135,37 @@
   CHECK(endpoint->avoid_until <= fixture.now);
 }
 
-// Large reads went to endpoints whose machines' links were full, as their slots were free, and took seconds
-// there, while the links of others of the same region were half idle.
-TEST_CASE("a request for a large answer goes where the answers that are held will be sent sooner") {
+// Guards against a selection by free slots alone: large reads were sent to endpoints with full links and took
+// seconds, while the links of other endpoints of the region were half idle.
+TEST_CASE("a request with a large response is sent to the endpoint that sends its held responses sooner") {
   DirectoryFixture fixture;
-  const auto chosen_for = [&fixture](bool has_large_answer) {
+  const auto selected_for = [&fixture](bool has_large_answer) {
     EndpointWant want;
     want.service = "shop";
     want.has_large_answer = has_large_answer;
     want.patience = milliseconds(200);
     return fixture.directory.choose(want, {}, fixture.random, fixture.now)->address;
   };
-  // The one with the full link has two slots' work less.
+  // The endpoint with the full link has two requests fewer.
   fixture.report(kSlow, 250, 2);
   wire::ForwardReplyT reply;
   reply.run_time_permille = 250;
   reply.answer_wait_ms = 600;
   fixture.directory.onReply(*fixture.directory.find(kFast), reply, fixture.now);
-  for (int i = 0; i < kDraws; ++i) {
-    CHECK(chosen_for(true) == kSlow);
-    CHECK(chosen_for(false) == kFast);
+  for (int i = 0; i < kSelections; ++i) {
+    CHECK(selected_for(true) == kSlow);
+    CHECK(selected_for(false) == kFast);
   }
-  // What was said long ago counts little.
+  // An old report has little weight.
   fixture.now += std::chrono::minutes(2);
-  int draws = 0;
-  for (int i = 0; i < kDraws; ++i) {
-    if (chosen_for(true) == kFast) ++draws;
+  int selections = 0;
+  for (int i = 0; i < kSelections; ++i) {
+    if (selected_for(true) == kFast) ++selections;
   }
-  CHECK(draws > kDraws / 5);
+  CHECK(selections > kSelections / 5);
 }
 
-TEST_CASE("the size of answers is learned for each route") {
+TEST_CASE("the response size is estimated for each route") {
   AnswerForecast sizes;
   CHECK(sizes.answerBytes("read") == 0);
   sizes.noteSize("read", 5'000);
@@ -175,14 +176,14 @@
   CHECK(sizes.answerBytes("write") == 100);
 }
 
-TEST_CASE("endpoints of which no run time is known share the requests") {
+TEST_CASE("endpoints without a known run time share the requests") {
   DirectoryFixture fixture;
-  const int draws = fixture.drawsOf(kFast);
-  CHECK(draws > kDraws / 4);
-  CHECK(draws < kDraws * 3 / 4);
+  const int selections = fixture.selectionsOf(kFast);
+  CHECK(selections > kSelections / 4);
+  CHECK(selections < kSelections * 3 / 4);
 }
 
-TEST_CASE("an endpoint that joins gets requests though nothing is known of it yet") {
+TEST_CASE("an endpoint that joins gets requests before its first report") {
   DirectoryFixture fixture;
   for (const auto& address : {kFast, kSlow}) fixture.report(address, 200, 2);
   const runtime::Address joined{"10.0.0.4", 7000};
@@ -198,27 +199,28 @@
   update.records.push_back(std::move(record));
   fixture.directory.apply(update, false, fixture.now);
   fixture.directory.noteOwn(joined);
-  CHECK(fixture.drawsOf(joined) > 0);
+  CHECK(fixture.selectionsOf(joined) > 0);
 }
 
-// The shifted deployment, scale-1: in a burst a third of all requests that got no answer lay at three
-// endpoints whose links were choked. They refused nothing, so every sender took them for free.
-TEST_CASE("an endpoint that says nothing for long is not taken for free beside one that is full") {
+// Guards against taking an overloaded endpoint for idle: during a burst a third of the requests without a
+// response were at three endpoints with congested links. They refused nothing, so every sender took them for
+// idle.
+TEST_CASE("an endpoint with overdue replies is not preferred to a full one") {
   DirectoryFixture fixture;
   fixture.directory.noteAnswered("shop", milliseconds(200));
   EndpointDirectory::noteSent(*fixture.directory.find(kSlow), fixture.now);
   fixture.now += milliseconds(900);
   fixture.report(kFast, 0, kSlots + 2);
-  CHECK(fixture.drawsOf(kSlow) == 0);
+  CHECK(fixture.selectionsOf(kSlow) == 0);
   fixture.report(kSlow, 0);
-  CHECK(fixture.drawsOf(kSlow) == kDraws);
+  CHECK(fixture.selectionsOf(kSlow) == kSelections);
 }
 
-TEST_CASE("an endpoint without requests from here may be silent") {
+TEST_CASE("an endpoint without requests in flight is not penalised for missing replies") {
   DirectoryFixture fixture;
   fixture.directory.noteAnswered("shop", milliseconds(200));
   fixture.now += std::chrono::seconds(60);
-  CHECK(fixture.drawsOf(kSlow) > kDraws / 4);
+  CHECK(fixture.selectionsOf(kSlow) > kSelections / 4);
 }
 
 }  // namespace cometstand::sidecar::test
--- a/tests/sidecar/endpoint_filter_test.cpp
+++ b/tests/sidecar/endpoint_filter_test.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(FilterFixture, "an endpoint that is down or not linked gets nothing") {
+TEST_CASE_METHOD(FilterFixture, "an endpoint that is not live or not linked gets no requests") {
   CHECK(admits());
   endpoint.linked = false;
   CHECK_FALSE(admits());
@@ -37,7 +37,7 @@
   CHECK_FALSE(admits());
 }
 
-TEST_CASE_METHOD(FilterFixture, "a request kept to regions goes to no other one") {
+TEST_CASE_METHOD(FilterFixture, "a request restricted to regions is sent to no other region") {
   want.regions = {"east"};
   CHECK_FALSE(admits());
   want.regions = {"east", "west"};
@@ -45,14 +45,14 @@
 }
 
 TEST_CASE_METHOD(FilterFixture,
-                 "an endpoint whose zone is not known gets no request that is kept to regions") {
+                 "an endpoint in an unknown zone gets no request that is restricted to regions") {
   endpoint.zone = "nowhere";
   CHECK(admits());
   want.regions = {"west"};
   CHECK_FALSE(admits());
 }
 
-TEST_CASE_METHOD(FilterFixture, "the endpoints of an evacuated zone get nothing") {
+TEST_CASE_METHOD(FilterFixture, "the endpoints of an evacuated zone get no requests") {
   wire::EvacuationUpdateT update;
   update.number = 1;
   auto record = std::make_shared<wire::EvacuationRecordT>();
--- a/tests/sidecar/endpoint_subset_test.cpp
+++ b/tests/sidecar/endpoint_subset_test.cpp
@@ -1,4 +1,4 @@
-// Which endpoints a sidecar links itself to, at every size of the fleet.
+// Tests which endpoints a sidecar opens links to, for fleets of different sizes.
 #include "sidecar/endpoint_subset.h"
 
 #include <catch2/catch.hpp>
@@ -18,7 +18,7 @@
           7'000};
 }
 
-/// Machine `number` of a fleet whose endpoints are spread evenly over the zones.
+/// @return the subset of machine `number` in a fleet whose endpoints are spread evenly over the zones.
 EndpointSubset makeSubset(std::size_t number, std::size_t endpoints) {
   EndpointSubset subset("node-" + std::to_string(number), zoneOf(number));
   for (std::size_t i = 0; i < endpoints; ++i) subset.add(addressOf(i), "shop", "v1", zoneOf(i));
@@ -28,17 +28,20 @@
 
 }  // namespace
 
-TEST_CASE("links do not grow with the fleet", "[subset]") {
+TEST_CASE("the number of links is bounded regardless of the fleet size", "[subset]") {
   const std::size_t endpoints = GENERATE(10, 100, 1'000, 10'000);
   const auto subset = makeSubset(3, endpoints);
-  constexpr std::size_t kMost = EndpointSubset::kMostOwnZone + EndpointSubset::kMostOtherZones + kZones;
-  CHECK(subset.size() <= kMost);
+  constexpr std::size_t kMaxSize =
+      EndpointSubset::kMaxOwnZoneEndpoints + EndpointSubset::kMaxOtherZoneEndpoints + kZones;
+  CHECK(subset.size() <= kMaxSize);
   CHECK(subset.size() >= std::min<std::size_t>(endpoints, 60));
 }
 
-TEST_CASE("a small service is in the subset whole", "[subset]") { CHECK(makeSubset(3, 30).size() == 30); }
+TEST_CASE("all endpoints of a small service are in the subset", "[subset]") {
+  CHECK(makeSubset(3, 30).size() == 30);
+}
 
-TEST_CASE("each endpoint has about as many senders as any other", "[subset]") {
+TEST_CASE("all endpoints have about the same number of senders", "[subset]") {
   constexpr std::size_t kMachines = 600;
   std::map<Address, std::size_t> senders;
   for (std::size_t machine = 0; machine < kMachines; ++machine) {
@@ -53,11 +56,11 @@
     all += count;
     CHECK(count > 0);
   }
-  // The aim for the busiest over the mean target.
+  // Target ratio of the busiest endpoint's load to the mean.
   CHECK(static_cast<double>(most) <= 1.5 * static_cast<double>(all) / kMachines);
 }
 
-TEST_CASE("an endpoint that goes changes one link at few sidecars", "[subset]") {
+TEST_CASE("removing an endpoint changes one link at few sidecars", "[subset]") {
   constexpr std::size_t kMachines = 300;
   std::size_t changed = 0;
   for (std::size_t machine = 0; machine < kMachines; ++machine) {
@@ -73,17 +76,17 @@
   CHECK(changed < kMachines / 2);
 }
 
-TEST_CASE("every zone is in the subset, and the others can stand in for the own one", "[subset]") {
+TEST_CASE("every zone is in the subset, and other zones replace a failed own zone", "[subset]") {
   auto subset = makeSubset(3, 600);
   std::map<std::string, std::size_t> of_zone;
   for (std::size_t i = 0; i < 600; ++i) of_zone[zoneOf(i)] += subset.contains(addressOf(i)) ? 1 : 0;
   for (std::size_t zone = 0; zone < kZones; ++zone) CHECK(of_zone[zoneOf(zone)] >= 2);
   for (std::size_t i = 3; i < 600; i += kZones) subset.remove(addressOf(i));
   subset.refresh();
-  CHECK(subset.size() >= EndpointSubset::kMostOtherZones);
+  CHECK(subset.size() >= EndpointSubset::kMaxOtherZoneEndpoints);
 }
 
-TEST_CASE("a new version has a subset of its own, and a service may be wanted whole", "[subset]") {
+TEST_CASE("a new version has its own subset, and a service may be exempt from the limits", "[subset]") {
   auto subset = makeSubset(3, 600);
   const std::size_t before = subset.size();
   for (std::size_t i = 1'000; i < 1'012; ++i) subset.add(addressOf(i), "shop", "v2", zoneOf(i));
@@ -96,7 +99,7 @@
   CHECK(subset.size() == before + 12);
 }
 
-TEST_CASE("an address that another service gets leaves no trace", "[subset]") {
+TEST_CASE("an address that moves to another service leaves no stale state", "[subset]") {
   auto subset = makeSubset(3, 600);
   for (std::size_t i = 0; i < 600; ++i)
     subset.add(addressOf(i), i % 2 == 0 ? "desk" : "shop", "v1", zoneOf(i));
--- a/tests/sidecar/link_share_test.cpp
+++ b/tests/sidecar/link_share_test.cpp
@@ -23,7 +23,7 @@
   }
 }
 
-TEST_CASE("what a share admits in any time is its rate times that and its bucket") {
+TEST_CASE("a share admits its rate times the elapsed time plus its bucket") {
   LinkShare share;
   share.setCeiling(10'000);
   double taken = 0;
@@ -36,7 +36,7 @@
   CHECK(taken >= 10'000 * 10 * 0.9);
 }
 
-TEST_CASE("a transfer larger than the bucket waits for a full one and is paid off") {
+TEST_CASE("a transfer larger than the bucket needs a full bucket and leaves a negative balance") {
   LinkShare share;
   share.setCeiling(10'000);
   CHECK(share.admits(20'000, TransferClass::Last, kStart));
@@ -45,7 +45,7 @@
   CHECK(share.admits(1, TransferClass::First, kStart + milliseconds(1'800)));
 }
 
-TEST_CASE("when a share runs short, what is neither urgent nor small stops first, what is both last") {
+TEST_CASE("when tokens run low, requests neither urgent nor small stop first, and urgent small ones last") {
   LinkShare share;
   share.setCeiling(10'000);
   CHECK(share.admits(100, TransferClass::Last, kStart));
@@ -57,7 +57,7 @@
   CHECK(share.admits(100, TransferClass::First, kStart));
 }
 
-TEST_CASE("what was taken for a request that moved nothing is given back") {
+TEST_CASE("tokens taken for bytes that were not transferred are returned") {
   LinkShare share;
   share.setCeiling(10'000);
   CHECK(share.admits(2'400, TransferClass::First, kStart));
@@ -67,7 +67,7 @@
   CHECK(share.admits(2'000, TransferClass::First, kStart));
 }
 
-TEST_CASE("a queue on the link lowers the rate at once, and it comes back by steps") {
+TEST_CASE("a queue on the link lowers the rate at once, and the rate recovers in steps") {
   LinkShare share;
   TimePoint now = kStart;
   share.adapt(false, now);
@@ -79,11 +79,11 @@
   now += milliseconds(500);
   CHECK_FALSE(share.adapt(true, now));
   CHECK(share.rate() < 40'000);
-  const double reduced = share.rate();
+  const double reduced_rate = share.rate();
   now += milliseconds(500);
   share.adapt(false, now);
-  CHECK(share.rate() > reduced);
-  CHECK(share.rate() < reduced * 1.1);
+  CHECK(share.rate() > reduced_rate);
+  CHECK(share.rate() < reduced_rate * 1.1);
   for (int i = 0; i < 100; ++i) {
     now += milliseconds(500);
     share.adapt(false, now);
@@ -91,7 +91,7 @@
   CHECK(share.rate() == LinkShare::kUnbounded);
 }
 
-TEST_CASE("a round trip is known for a while, and its rise is that over the least one") {
+TEST_CASE("a round trip expires, and its rise is the difference to the minimum") {
   RoundTripMeter meter;
   CHECK_FALSE(meter.latest(kStart));
   CHECK(meter.rise(kStart) == Duration::zero());
@@ -104,7 +104,7 @@
   CHECK(meter.rise(kStart + seconds(6)) == Duration::zero());
 }
 
-TEST_CASE("a way that stays longer counts as free again after a while") {
+TEST_CASE("a lasting rise of the round-trip time becomes the new minimum") {
   RoundTripMeter meter;
   meter.note(milliseconds(60), kStart);
   TimePoint now = kStart;
--- a/tests/sidecar/rollout_view_test.cpp
+++ b/tests/sidecar/rollout_view_test.cpp
@@ -34,8 +34,8 @@
     now += seconds(10);
     view.noteVersion("shop", "v2", now);
   }
-  VersionFilter filter(bool first_sending = true) {
-    return view.filterFor("shop", first_sending, random, now);
+  VersionFilter filter(bool is_first_attempt = true) {
+    return view.filterFor("shop", is_first_attempt, random, now);
   }
 
   TimePoint now{seconds(100)};
@@ -45,32 +45,33 @@
 
 }  // namespace
 
-TEST_CASE("a version that comes up beside others waits for an order that may be on its way") {
+TEST_CASE(
+    "a version that appears beside others gets no requests until a roll-out update could have arrived") {
   View test;
   CHECK(test.filter().admits("v1"));
   CHECK_FALSE(test.filter().admits("v2"));
-  test.now += RolloutView::kProbation;
+  test.now += RolloutView::kNewVersionDelay;
   CHECK(test.filter().admits("v2"));
 }
 
-TEST_CASE("the new version gets its share of first sendings, within the lease only") {
+TEST_CASE("the new version gets its share of first attempts, and only within the lease") {
   View test;
-  test.now += RolloutView::kProbation;
+  test.now += RolloutView::kNewVersionDelay;
   test.view.apply(makeUpdate(Phase::Canary, 250), test.now);
-  int drawn = 0;
-  constexpr int kDraws = 4'000;
-  for (int i = 0; i < kDraws; ++i) drawn += test.filter().pool == Pool::Canary ? 1 : 0;
-  CHECK(drawn == Approx(kDraws / 4).margin(150));
+  int canary_requests = 0;
+  constexpr int kRequests = 4'000;
+  for (int i = 0; i < kRequests; ++i) canary_requests += test.filter().pool == Pool::Canary ? 1 : 0;
+  CHECK(canary_requests == Approx(kRequests / 4).margin(150));
   CHECK(test.filter(false).pool == Pool::Stable);
   CHECK_FALSE(test.filter(false).admits("v2"));
   CHECK_FALSE(test.view.isClosed("shop", "v2", test.now));
-  test.now += RolloutView::kLease;
-  for (int i = 0; i < kDraws; ++i) REQUIRE(test.filter().pool == Pool::Stable);
+  test.now += RolloutView::kLeaseDuration;
+  for (int i = 0; i < kRequests; ++i) REQUIRE(test.filter().pool == Pool::Stable);
   CHECK(test.view.isClosed("shop", "v2", test.now));
   CHECK_FALSE(test.view.isClosed("shop", "v1", test.now));
 }
 
-TEST_CASE("targets of unknown version get nothing while a roll-out runs") {
+TEST_CASE("targets of unknown version get no requests during a roll-out") {
   View test;
   CHECK(test.filter().admits(""));
   test.view.apply(makeUpdate(Phase::Canary, 60), test.now);
@@ -79,7 +80,7 @@
   CHECK(test.filter().admits(""));
 }
 
-TEST_CASE("a promoted version gets everything, the replaced ones nothing, also once it is over") {
+TEST_CASE("a promoted version gets all requests and replaced ones none, also after the roll-out") {
   View test;
   test.view.apply(makeUpdate(Phase::Promoting), test.now);
   CHECK(test.view.isClosed("shop", "v1", test.now));
@@ -90,13 +91,13 @@
   CHECK(test.view.isClosed("shop", "v1", test.now));
   CHECK_FALSE(test.filter().admits("v1"));
   CHECK(test.filter().admits("v2"));
-  // What comes up later is no business of this roll-out.
+  // The finished roll-out does not apply to versions that appear later.
   CHECK_FALSE(test.view.isClosed("shop", "v3", test.now));
 }
 
-TEST_CASE("a version that is rolled back gets nothing, and late words change nothing") {
+TEST_CASE("a version that is rolled back gets no requests, and late updates are ignored") {
   View test;
-  test.now += RolloutView::kProbation;
+  test.now += RolloutView::kNewVersionDelay;
   test.view.apply(makeUpdate(Phase::RollingBack, 0, 3), test.now);
   test.view.apply(makeUpdate(Phase::Canary, 60, 2), test.now);
   CHECK(test.view.isClosed("shop", "v2", test.now));
@@ -104,12 +105,12 @@
   CHECK(test.filter().admits("v1"));
 }
 
-TEST_CASE("the gate refuses for a closed version, lets what runs end, and the leader hears of both") {
+TEST_CASE("a closed version refuses requests, finishes running ones, and reports both to the leader") {
   SidecarFixture fixture;
   fixture.configure();
-  auto beat = SidecarFixture::makeBeat("t1", 1);
-  beat.version = "v1";
-  fixture.core.onHeartbeat(beat, fixture.now);
+  auto heartbeat = SidecarFixture::makeBeat("t1", 1);
+  heartbeat.version = "v1";
+  fixture.core.onHeartbeat(heartbeat, fixture.now);
   fixture.step();
   fixture.call("/read/1");
   REQUIRE(fixture.target.orders.size() == 1);
@@ -137,12 +138,12 @@
   CHECK(last_report()->in_flight == 0);
 }
 
-TEST_CASE("requests that run while a roll-out goes on are counted by route") {
+TEST_CASE("requests that run during a roll-out are counted by route") {
   SidecarFixture fixture;
   fixture.configure();
-  auto beat = SidecarFixture::makeBeat("t2", 1);
-  beat.version = "v2";
-  fixture.core.onHeartbeat(beat, fixture.now);
+  auto heartbeat = SidecarFixture::makeBeat("t2", 1);
+  heartbeat.version = "v2";
+  fixture.core.onHeartbeat(heartbeat, fixture.now);
   fixture.step();
   fixture.say(SidecarFixture::kStore, makeUpdate(Phase::Canary, 1'000));
   fixture.call("/write/1");
--- a/tests/sidecar/zone_evacuations_test.cpp
+++ b/tests/sidecar/zone_evacuations_test.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TEST_CASE("a zone is evacuated until a newer word ends it") {
+TEST_CASE("a zone is evacuated until a newer update ends the evacuation") {
   ZoneEvacuations evacuations;
   CHECK(evacuations.apply(makeUpdate(1, "zone-a", true)));
   CHECK(evacuations.isEvacuated("zone-a"));
@@ -30,7 +30,7 @@
   CHECK_FALSE(evacuations.isEvacuated("zone-a"));
 }
 
-TEST_CASE("a late word on evacuations changes nothing") {
+TEST_CASE("a late evacuation update is ignored") {
   ZoneEvacuations evacuations;
   evacuations.apply(makeUpdate(2, "zone-a", false));
   CHECK_FALSE(evacuations.apply(makeUpdate(1, "zone-a", true)));
--- a/tests/sidecar/zone_health_test.cpp
+++ b/tests/sidecar/zone_health_test.cpp
@@ -1,4 +1,4 @@
-// Zones that do not answer, as one sidecar sees them.
+// Tests how a sidecar detects unresponsive zones and selects endpoints meanwhile.
 #include "sidecar/zone_health.h"
 
 #include <catch2/catch.hpp>
@@ -13,10 +13,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr int kDraws = 50;
-constexpr Duration kUsualAnswer = milliseconds(40);
+constexpr int kSelections = 50;
+constexpr Duration kMeanResponseTime = milliseconds(40);
 
-/// A sidecar of zone a, with three endpoints in each of the zones that the test names.
+/// Endpoint directory of a sidecar in zone a, with three endpoints in each of the given zones.
 class ZonedDirectory {
  public:
   explicit ZonedDirectory(const std::vector<std::string>& zones) {
@@ -37,7 +37,7 @@
     directory.apply(update, true, now);
     for (const auto& record : update.records) directory.noteLinked({record->address, record->port}, now);
     now += milliseconds(1);
-    directory.noteAnswered("shop", kUsualAnswer);
+    directory.noteAnswered("shop", kMeanResponseTime);
   }
 
   static runtime::Address address(const std::string& zone, int index) {
@@ -46,9 +46,9 @@
 
   Endpoint& at(const std::string& zone, int index) { return *directory.find(address(zone, index)); }
 
-  void lose(const std::string& zone, int index) { directory.noteUnlinked(address(zone, index), now); }
+  void endLink(const std::string& zone, int index) { directory.noteUnlinked(address(zone, index), now); }
 
-  /// The endpoint gets a request and is silent on it.
+  /// Sends the endpoint a request to which it does not reply.
   void sendUnanswered(const std::string& zone, int index) {
     EndpointDirectory::noteSent(at(zone, index), now);
   }
@@ -64,10 +64,10 @@
     return directory.choose(want, {}, random, now);
   }
 
-  /// @return the zones that get requests.
-  std::set<std::string> zonesOf(bool may_repeat = true) {
+  /// @return the zones of the endpoints selected in kSelections selections.
+  std::set<std::string> selectedZones(bool may_repeat = true) {
     std::set<std::string> zones;
-    for (int i = 0; i < kDraws; ++i) {
+    for (int i = 0; i < kSelections; ++i) {
       const auto* endpoint = choose(may_repeat);
       if (endpoint != nullptr) zones.insert(endpoint->zone);
     }
@@ -91,147 +91,150 @@
 
 }  // namespace
 
-TEST_CASE("a zone is dark once two of its machines are missed and none was heard since the first") {
+TEST_CASE("a zone is unresponsive once two of its machines failed without contact since the first failure") {
   ZoneHealth health("a");
   const TimePoint now{seconds(100)};
-  health.noteMissed("b", "m1", now);
-  health.noteMissed("b", "m1", now + milliseconds(10));
-  CHECK_FALSE(health.isDark("b"));
-  health.noteHeard("b", now + milliseconds(15));
-  health.noteMissed("b", "m2", now + milliseconds(20));
-  CHECK_FALSE(health.isDark("b"));
-  health.noteMissed("b", "m3", now + milliseconds(30));
-  CHECK(health.isDark("b"));
-  CHECK_FALSE(health.isDark("c"));
-  health.noteHeard("b", now + milliseconds(40));
-  CHECK_FALSE(health.isDark("b"));
+  health.noteFailure("b", "m1", now);
+  health.noteFailure("b", "m1", now + milliseconds(10));
+  CHECK_FALSE(health.isUnresponsive("b"));
+  health.noteContact("b", now + milliseconds(15));
+  health.noteFailure("b", "m2", now + milliseconds(20));
+  CHECK_FALSE(health.isUnresponsive("b"));
+  health.noteFailure("b", "m3", now + milliseconds(30));
+  CHECK(health.isUnresponsive("b"));
+  CHECK_FALSE(health.isUnresponsive("c"));
+  health.noteContact("b", now + milliseconds(40));
+  CHECK_FALSE(health.isUnresponsive("b"));
 }
 
-TEST_CASE("a machine that was missed before its zone was heard counts no more") {
+TEST_CASE("a machine that failed before the last contact with its zone is not counted") {
   ZoneHealth health("a");
   const TimePoint now{seconds(100)};
-  health.noteHeard("b", now);
-  health.noteMissed("b", "m1", now - milliseconds(10));
-  health.noteMissed("b", "m2", now + milliseconds(10));
-  CHECK_FALSE(health.isDark("b"));
+  health.noteContact("b", now);
+  health.noteFailure("b", "m1", now - milliseconds(10));
+  health.noteFailure("b", "m2", now + milliseconds(10));
+  CHECK_FALSE(health.isUnresponsive("b"));
 }
 
-TEST_CASE("machines of a zone that are missed one long after the other make it not dark") {
+TEST_CASE("failures of machines outside the time window do not make their zone unresponsive") {
   ZoneHealth health("a");
   const TimePoint now{seconds(100)};
-  health.noteMissed("b", "m1", now);
-  health.noteMissed("b", "m2", now + milliseconds(1'100));
-  CHECK_FALSE(health.isDark("b"));
+  health.noteFailure("b", "m1", now);
+  health.noteFailure("b", "m2", now + milliseconds(1'100));
+  CHECK_FALSE(health.isUnresponsive("b"));
 }
 
-TEST_CASE("the zone of the sidecar is never dark") {
+TEST_CASE("the zone of the sidecar is never unresponsive") {
   ZoneHealth health("a");
   const TimePoint now{seconds(100)};
-  for (const char* host : {"m1", "m2", "m3"}) health.noteMissed("a", host, now);
-  CHECK_FALSE(health.isDark("a"));
+  for (const char* host : {"m1", "m2", "m3"}) health.noteFailure("a", host, now);
+  CHECK_FALSE(health.isUnresponsive("a"));
 }
 
-TEST_CASE("a dark zone is probed ever more rarely, one request at a time") {
+TEST_CASE("an unresponsive zone is probed by single requests at increasing intervals") {
   ZoneHealth health("a");
   const TimePoint begin{seconds(100)};
-  health.noteMissed("b", "m1", begin);
-  health.noteMissed("b", "m2", begin);
+  health.noteFailure("b", "m1", begin);
+  health.noteFailure("b", "m2", begin);
   std::vector<Duration> probes;
   for (TimePoint now = begin; now < begin + seconds(16); now += milliseconds(10)) {
-    if (!health.wantsProbe("b", now)) continue;
+    if (!health.isProbeDue("b", now)) continue;
     health.noteProbe("b", now);
     probes.push_back(now - begin);
   }
   CHECK(probes == std::vector<Duration>{seconds(1), seconds(2), seconds(4), seconds(8), seconds(12)});
 }
 
-TEST_CASE("after two links to a zone were reset, its other endpoints are avoided until one is linked again") {
+TEST_CASE("after two links to a zone ended, its other endpoints are avoided until one is linked again") {
   ZonedDirectory mesh({"b", "c"});
-  mesh.lose("b", 0);
-  CHECK(mesh.zonesOf() == Zones{"b", "c"});
-  mesh.lose("b", 1);
-  CHECK(mesh.zonesOf() == Zones{"c"});
+  mesh.endLink("b", 0);
+  CHECK(mesh.selectedZones() == Zones{"b", "c"});
+  mesh.endLink("b", 1);
+  CHECK(mesh.selectedZones() == Zones{"c"});
   mesh.directory.noteLinked(ZonedDirectory::address("b", 0), mesh.now);
-  CHECK(mesh.zonesOf() == Zones{"b", "c"});
+  CHECK(mesh.selectedZones() == Zones{"b", "c"});
 }
 
-TEST_CASE("after two endpoints of a zone fell silent, the third is avoided until one answers") {
+TEST_CASE("after two endpoints of a zone stopped replying, the third is avoided until one replies") {
   ZonedDirectory mesh({"b", "c"});
   mesh.sendUnanswered("b", 0);
   mesh.sendUnanswered("b", 1);
   mesh.now += milliseconds(400);
-  CHECK(mesh.zonesOf() == Zones{"b", "c"});
+  CHECK(mesh.selectedZones() == Zones{"b", "c"});
   mesh.now += milliseconds(150);
-  CHECK(mesh.zonesOf() == Zones{"c"});
+  CHECK(mesh.selectedZones() == Zones{"c"});
   mesh.answer("b", 1);
-  CHECK(mesh.zonesOf().contains("b"));
+  CHECK(mesh.selectedZones().contains("b"));
 }
 
-TEST_CASE("one silent endpoint, or one link that ended, says nothing of its zone") {
+TEST_CASE("one overdue endpoint or one ended link does not make its zone unresponsive") {
   ZonedDirectory mesh({"b"});
-  SECTION("silent") { mesh.sendUnanswered("b", 0); }
-  SECTION("ended") { mesh.lose("b", 0); }
+  SECTION("reply overdue") { mesh.sendUnanswered("b", 0); }
+  SECTION("link ended") { mesh.endLink("b", 0); }
   mesh.now += milliseconds(700);
-  CHECK(mesh.zonesOf(false) == Zones{"b"});
+  CHECK(mesh.selectedZones(false) == Zones{"b"});
 }
 
-TEST_CASE("endpoints that are silent while others of their zone answer do not make it dark") {
+TEST_CASE("overdue endpoints do not make their zone unresponsive while another of its endpoints replies") {
   ZonedDirectory mesh({"b", "c"});
   mesh.sendUnanswered("b", 0);
   mesh.sendUnanswered("b", 1);
   for (int i = 0; i < 10; ++i) {
     mesh.now += milliseconds(100);
     mesh.answer("b", 2);
-    CHECK(mesh.zonesOf().contains("b"));
+    CHECK(mesh.selectedZones().contains("b"));
   }
 }
 
-TEST_CASE("links that could not be opened in the first place do not make a zone dark") {
+TEST_CASE("links that could not be opened do not make a zone unresponsive") {
   ZonedDirectory mesh({"b"});
   for (int i = 0; i < 2; ++i) {
-    mesh.lose("b", 0);
+    mesh.endLink("b", 0);
     mesh.now += milliseconds(800);
   }
   mesh.at("b", 1).live = false;
-  mesh.lose("b", 1);
-  CHECK(mesh.zonesOf(false) == Zones{"b"});
+  mesh.endLink("b", 1);
+  CHECK(mesh.selectedZones(false) == Zones{"b"});
 }
 
-TEST_CASE("a zone that may hear without being heard gets nothing that must not be repeated, but a probe") {
+TEST_CASE("an unresponsive zone gets requests that must not be repeated only as probes") {
   ZonedDirectory mesh({"b"});
   mesh.sendUnanswered("b", 0);
   mesh.sendUnanswered("b", 1);
   mesh.now += milliseconds(600);
   CHECK(mesh.choose(false) == nullptr);
-  CHECK(mesh.zonesOf(true) == Zones{"b"});
+  CHECK(mesh.selectedZones(true) == Zones{"b"});
   mesh.now += milliseconds(1'000);
   CHECK(mesh.choose(false) != nullptr);
   CHECK(mesh.choose(false) == nullptr);
 }
 
-TEST_CASE("a probe of a dark zone is a request that may be repeated, if another zone can take the others") {
+TEST_CASE(
+    "a probe of an unresponsive zone is a repeatable request if another zone can take the other requests") {
   ZonedDirectory mesh({"b", "c"});
-  mesh.lose("b", 0);
-  mesh.lose("b", 1);
+  mesh.endLink("b", 0);
+  mesh.endLink("b", 1);
   for (int i = 0; i < 3; ++i) EndpointDirectory::noteSent(mesh.at("c", i), mesh.now);
   mesh.now += milliseconds(1'000);
   for (int i = 0; i < 3; ++i) mesh.answer("c", i);
-  CHECK(mesh.zonesOf(false) == Zones{"c"});
+  CHECK(mesh.selectedZones(false) == Zones{"c"});
   int probes = 0;
-  for (int i = 0; i < kDraws; ++i) probes += mesh.choose()->zone == "b" ? 1 : 0;
+  for (int i = 0; i < kSelections; ++i) probes += mesh.choose()->zone == "b" ? 1 : 0;
   CHECK(probes == 1);
 }
 
-TEST_CASE("a sidecar whose machine is cut off sends to its own zone as before") {
+TEST_CASE("a sidecar whose machine is cut off keeps sending to its own zone") {
   ZonedDirectory mesh({"a", "b"});
   for (const char* zone : {"a", "b"}) {
-    mesh.lose(zone, 0);
-    mesh.lose(zone, 1);
+    mesh.endLink(zone, 0);
+    mesh.endLink(zone, 1);
   }
-  CHECK(mesh.zonesOf(false) == Zones{"a"});
+  CHECK(mesh.selectedZones(false) == Zones{"a"});
 }
 
-TEST_CASE("a sidecar refuses at once what must not be repeated while all that could take it is dark") {
+TEST_CASE(
+    "a request that must not be repeated is refused at once while all zones that could take it are "
+    "unresponsive") {
   auto options = SidecarFixture::makeOptions();
   options.zone = "zone-b";
   SidecarFixture sidecar(options);
