--- a/tests/evacuation/zone_mesh.cpp
+++ b/tests/evacuation/zone_mesh.cpp
@@ -10,9 +10,9 @@
 
 constexpr const char* kService = "desk";
 constexpr const char* kHost = "desk.example";
-constexpr std::size_t kSidecarsInZone = 3;
+constexpr std::size_t kSidecarsPerZone = 3;
 constexpr std::size_t kFirstSidecarAddress = 100;
-constexpr Duration kOperatorsPause = milliseconds(200);
+constexpr Duration kOrderRetryInterval = milliseconds(200);
 
 wire::MeshConfigurationT makeConfiguration() {
   wire::MeshConfigurationT configuration;
@@ -39,11 +39,11 @@
 ZoneMesh::ZoneMesh(std::uint64_t seed)
     : random_(seed), store_group_(network, random_, 3, mesh::ZoneMap({"zone-1=east", "zone-2=east"})) {
   store_group_.configure(makeConfiguration());
-  for (std::size_t i = 0; i < kSidecarsInZone; ++i) {
+  for (std::size_t i = 0; i < kSidecarsPerZone; ++i) {
     for (const char* zone : {kFirstZone, kSecondZone}) addSidecar(zone);
   }
   network.runFor(seconds(4));
-  // Before their first configuration sidecars refuse their callers.
+  // Sidecars refuse all calls before they have their first configuration; these are not counted.
   answered = 0;
   refused = 0;
 }
@@ -64,8 +64,8 @@
     return std::make_unique<sidecar::SidecarCore>(options, random_.uniform(0, UINT64_MAX), machine, machine);
   });
   network.start(machine.id);
-  keepBeating(machine);
-  keepCalling(machine);
+  sendHeartbeats(machine);
+  sendCalls(machine);
   return machine.id;
 }
 
@@ -77,19 +77,19 @@
   return ids;
 }
 
-void ZoneMesh::keepBeating(Machine& machine) {
+void ZoneMesh::sendHeartbeats(Machine& machine) {
   network.call(machine.id, [this, &machine] {
-    sidecar::Heartbeat beat;
-    beat.incarnation.id = "i-" + machine.name;
-    beat.service = kService;
-    beat.slots = 6;
-    beat.sequence = ++machine.sequence;
-    sidecarAt(machine.id).onHeartbeat(beat, network.now());
+    sidecar::Heartbeat heartbeat;
+    heartbeat.incarnation.id = "i-" + machine.name;
+    heartbeat.service = kService;
+    heartbeat.slots = 6;
+    heartbeat.sequence = ++machine.sequence;
+    sidecarAt(machine.id).onHeartbeat(heartbeat, network.now());
   });
-  network.at(network.now() + milliseconds(1'500), [this, &machine] { keepBeating(machine); });
+  network.at(network.now() + milliseconds(1'500), [this, &machine] { sendHeartbeats(machine); });
 }
 
-void ZoneMesh::keepCalling(Machine& machine) {
+void ZoneMesh::sendCalls(Machine& machine) {
   network.at(network.now() + random_.uniform(milliseconds(0), milliseconds(80)), [this, &machine] {
     network.call(machine.id, [this, &machine] {
       sidecar::Call call;
@@ -100,13 +100,13 @@
       call.request.request_id = std::to_string(next_call_);
       sidecarAt(machine.id).onCall(sidecar::CallId{next_call_++}, std::move(call), network.now());
     });
-    keepCalling(machine);
+    sendCalls(machine);
   });
 }
 
 void ZoneMesh::Machine::run(sidecar::RunOrder order) {
   running.insert(order.id);
-  mesh->begun_[zone].push_back(mesh->network.now());
+  mesh->run_starts_[zone].push_back(mesh->network.now());
   mesh->network.at(mesh->network.now() + mesh->run_time, [this, run = order.id] {
     if (running.erase(run) == 0) return;
     mesh->network.call(id, [this, run] {
@@ -142,15 +142,15 @@
   for (const TimePoint end = network.now() + limit; network.now() < end;) {
     answer.reset();
     if (const auto store = leader()) orderAt(*store, zone, is_evacuated);
-    network.runFor(kOperatorsPause);
+    network.runFor(kOrderRetryInterval);
     if (answer == store::EvacuationAnswerKind::Done) return true;
   }
   return false;
 }
 
-std::size_t ZoneMesh::begunIn(const std::string& zone, TimePoint since) const {
-  const auto found = begun_.find(zone);
-  if (found == begun_.end()) return 0;
+std::size_t ZoneMesh::runsStartedIn(const std::string& zone, TimePoint since) const {
+  const auto found = run_starts_.find(zone);
+  if (found == run_starts_.end()) return 0;
   const auto first = std::lower_bound(found->second.begin(), found->second.end(), since);
   return static_cast<std::size_t>(std::distance(first, found->second.end()));
 }
--- a/tests/evacuation/zone_mesh.h
+++ b/tests/evacuation/zone_mesh.h
@@ -21,15 +21,16 @@
 inline constexpr const char* kFirstZone = "zone-1";
 inline constexpr const char* kSecondZone = "zone-2";
 
-/// Three stores, and sidecars with targets in two zones. Callers send to all sidecars all the time.
+/// Simulated mesh of three stores and of sidecars with targets in two zones. The callers of every sidecar
+/// send requests continuously.
 class ZoneMesh {
  public:
   explicit ZoneMesh(std::uint64_t seed);
 
-  /// Sends the order to the store, once. The answer is kept as the newest one.
+  /// Sends the evacuation order to the store once. The result is stored in `answer`.
   void orderAt(ProcessId store, const std::string& zone, bool is_evacuated);
-  /// Sends the order to whoever leads, again every 200 ms until it is acknowledged, as operators do.
-  /// @return false if it was not within that time.
+  /// Sends the evacuation order to the leader every 200 ms until it is acknowledged, as operators do.
+  /// @return false if it was not acknowledged within the limit.
   bool orderUntilDone(const std::string& zone, bool is_evacuated, Duration limit);
   void runFor(Duration time) { network.runFor(time); }
 
@@ -40,11 +41,11 @@
     return dynamic_cast<sidecar::SidecarCore&>(network.core(id));
   }
   std::vector<ProcessId> sidecarsIn(const std::string& zone) const;
-  /// Adds a sidecar with a target, which starts now.
+  /// Adds a sidecar with a target and starts it now.
   ProcessId addSidecar(const std::string& zone);
 
-  /// @return requests that began at targets of the zone since that time.
-  std::size_t begunIn(const std::string& zone, TimePoint since) const;
+  /// @return the number of requests that targets of the zone have started since that time.
+  std::size_t runsStartedIn(const std::string& zone, TimePoint since) const;
 
   ProcessNetwork network;
   std::optional<store::EvacuationAnswerKind> answer;
@@ -54,7 +55,7 @@
   std::size_t failed = 0;
 
  private:
-  /// A target and the callers of its sidecar.
+  /// Machine of one sidecar, with its target and its callers.
   struct Machine : sidecar::TargetPort, sidecar::CallerPort {
     ZoneMesh* mesh = nullptr;
     ProcessId id = 0;
@@ -70,13 +71,13 @@
     void answer(sidecar::CallId id, sidecar::CallAnswer answer) override;
   };
 
-  void keepBeating(Machine& machine);
-  void keepCalling(Machine& machine);
+  void sendHeartbeats(Machine& machine);
+  void sendCalls(Machine& machine);
 
   RandomSource random_;
   StoreGroup store_group_;
   std::deque<Machine> machines_;
-  std::map<std::string, std::vector<TimePoint>> begun_;
+  std::map<std::string, std::vector<TimePoint>> run_starts_;
   std::uint64_t next_call_ = 1;
 };
 
