--- a/src/sidecar/answer_transfers.cpp
+++ b/src/sidecar/answer_transfers.cpp
@@ -6,51 +6,53 @@
 namespace cometstand::sidecar {
 namespace {
 
-/// An asker says itself that its time is up; only one that fails to is given up here, so much later.
-constexpr Duration kCancelGrace = std::chrono::milliseconds(200);
-/// An asker that has granted nothing for so long has its own reasons: behind a full link of 10 Mbit/s a grant
-/// comes after 0.4 to 0.7 s, with 30 askers of 16 KiB each (reckoned).
-constexpr Duration kStallTime = std::chrono::milliseconds(1'500);
-
-/// The rate at which fewer answers leave may be that of their askers, not that of the link.
-constexpr std::size_t kLeastActive = 4;
-
-/// Bytes of answers with a due time that may be under way together, which the next in the order waits behind:
-/// 0.1 s of a link of 10 Mbit/s, and more than that link brings in a round trip between regions (75 KB).
-constexpr std::size_t kMostUnconfirmed = 128 * 1024;
-/// Of these, the share of one answer: an asker that is dead holds up no more than this.
-constexpr std::size_t kMostUnconfirmedOfOne = 48 * 1024;
-/// Bytes of a message that is sent in the order: 13 ms of such a link, which other messages wait behind.
-constexpr std::size_t kOrderedPartBytes = 16 * 1024;
+/// A requester cancels the request itself at its deadline. A transfer that was not cancelled is aborted after
+/// this additional time.
+constexpr Duration kCancelGracePeriod = std::chrono::milliseconds(200);
+/// A transfer without a grant for this long is stalled by its requester. Behind a full link of 10 Mbit/s,
+/// with 30 requesters of 16 KiB each, a grant takes an estimated 0.4 to 0.7 s.
+constexpr Duration kStallTimeout = std::chrono::milliseconds(1'500);
+
+/// With fewer active transfers the send rate may be limited by the requesters and not by the link.
+constexpr std::size_t kMinActiveTransfers = 4;
+
+/// Limit of the unconfirmed bytes of all responses with a due time. The next part waits behind them: 0.1 s on
+/// a link of 10 Mbit/s. It exceeds the bandwidth-delay product of such a link between regions (75 KB).
+constexpr std::size_t kMaxUnconfirmedBytes = 128 * 1024;
+/// Limit of the unconfirmed bytes of one response, so that a failed requester blocks no more than these.
+constexpr std::size_t kMaxUnconfirmedBytesPerTransfer = 48 * 1024;
+/// Size of a part of a response with a due time. Other messages wait behind it: 13 ms on a link of 10 Mbit/s.
+constexpr std::size_t kMaxDuePartBytes = 16 * 1024;
 
 }  // namespace
 
 std::vector<std::uint8_t> AnswerTransfers::nextBytes(Transfer& transfer, std::size_t bytes) {
   const auto begin = transfer.body.begin() + static_cast<std::ptrdiff_t>(transfer.sent);
-  const std::size_t length = std::min(bytes, transfer.left());
+  const std::size_t length = std::min(bytes, transfer.unsentBytes());
   transfer.sent += length;
   return {begin, begin + static_cast<std::ptrdiff_t>(length)};
 }
 
-AnswerTransfers::Transfers::iterator AnswerTransfers::forget(Transfers::iterator transfer) {
+AnswerTransfers::Transfers::iterator AnswerTransfers::erase(Transfers::iterator transfer) {
   held_bytes_ -= transfer->second.body.size();
   return transfers_.erase(transfer);
 }
 
 bool AnswerTransfers::isFull(std::size_t answer_bytes, unsigned credit, TimePoint now) const {
-  if (held_bytes_ >= kMostHeldBytes) return true;
+  if (held_bytes_ >= kMaxHeldBytes) return true;
   const bool is_large = credit > 0 && answer_bytes > credit;
-  return is_large && expectedWait(now) >= kMostWait;
+  return is_large && expectedWait(now) >= kMaxExpectedWait;
 }
 
-/// At least the answer's own bytes must have left, so that those who are refused together do not come back at
-/// once to a link that is as full as before.
+/// The result covers at least the transmission time of the response itself, so that requests which are
+/// rejected together do not all retry at once while the link is still full.
 Duration AnswerTransfers::timeUntilRoom(std::size_t answer_bytes, TimePoint now) const {
-  const std::size_t excess = held_bytes_ - std::min(held_bytes_, kMostHeldBytes);
-  return std::max({expectedWait(now) - kMostWait, sendingTime(excess), sendingTime(answer_bytes)});
+  const std::size_t excess = held_bytes_ - std::min(held_bytes_, kMaxHeldBytes);
+  return std::max(
+      {expectedWait(now) - kMaxExpectedWait, transmissionTime(excess), transmissionTime(answer_bytes)});
 }
 
-Duration AnswerTransfers::sendingTime(std::size_t bytes) const {
+Duration AnswerTransfers::transmissionTime(std::size_t bytes) const {
   const double rate = rate_.bytesPerSecond();
   if (rate <= 0) return Duration::zero();
   const std::chrono::duration<double> time(static_cast<double>(bytes) / rate);
@@ -61,11 +63,11 @@
   std::size_t bytes = 0;
   std::size_t active = 0;
   for (const auto& [asker, transfer] : transfers_) {
-    if (transfer.active_at + kStallTime <= now) continue;
-    bytes += transfer.left();
+    if (transfer.last_grant_at + kStallTimeout <= now) continue;
+    bytes += transfer.unsentBytes();
     ++active;
   }
-  return active < kLeastActive ? Duration::zero() : sendingTime(bytes);
+  return active < kMinActiveTransfers ? Duration::zero() : transmissionTime(bytes);
 }
 
 void AnswerTransfers::send(const GateAsker& asker, wire::ForwardReplyT reply, TimePoint now) {
@@ -74,11 +76,11 @@
   if (is_large && reply.outcome == wire::ForwardOutcome::Answered) {
     Transfer transfer;
     transfer.body = std::move(reply.body);
-    transfer.give_up_at = asker.answer.wanted_until + kCancelGrace;
+    transfer.abort_at = asker.answer.wanted_until + kCancelGracePeriod;
     reply.body = nextBytes(transfer, credit);
     reply.body_follows = true;
-    transfer.sent_first = transfer.sent;
-    transfer.active_at = now;
+    transfer.sent_in_first_message = transfer.sent;
+    transfer.last_grant_at = now;
     cancel(asker);
     if (transfers_.empty()) rate_.begin(now);
     held_bytes_ += transfer.body.size();
@@ -92,19 +94,19 @@
   unconfirmed_.onConfirmed(asker, grant.received, now);
   if (found != transfers_.end()) {
     auto& transfer = found->second;
-    transfer.active_at = now;
-    transfer.granted += std::min<std::size_t>(grant.bytes, transfer.left() - transfer.granted);
-    noteDue(asker, transfer, grant, now);
+    transfer.last_grant_at = now;
+    transfer.granted += std::min<std::size_t>(grant.bytes, transfer.unsentBytes() - transfer.granted);
+    updateDueTime(asker, transfer, grant, now);
   }
   sendGranted(now);
 }
 
-void AnswerTransfers::noteDue(const GateAsker& asker, Transfer& transfer, const wire::BodyGrantT& grant,
-                              TimePoint now) {
+void AnswerTransfers::updateDueTime(const GateAsker& asker, Transfer& transfer, const wire::BodyGrantT& grant,
+                                    TimePoint now) {
   if (grant.due_ms == 0) return;
-  const std::size_t in_parts = transfer.sent - transfer.sent_first;
+  const std::size_t sent_in_parts = transfer.sent - transfer.sent_in_first_message;
   if (!transfer.due)
-    unconfirmed_.begin(asker, in_parts, std::min<std::size_t>(grant.received, in_parts), now);
+    unconfirmed_.begin(asker, sent_in_parts, std::min<std::size_t>(grant.received, sent_in_parts), now);
   transfer.due = now + std::chrono::milliseconds(grant.due_ms);
 }
 
@@ -112,20 +114,21 @@
   for (auto next = nextToSend(); next != transfers_.end(); next = nextToSend()) sendPart(next, now);
 }
 
-bool AnswerTransfers::hasRoom(const GateAsker& asker, const Transfer& transfer) const {
-  return !transfer.due || unconfirmed_.of(asker) < kMostUnconfirmedOfOne;
+bool AnswerTransfers::isBelowUnconfirmedLimit(const GateAsker& asker, const Transfer& transfer) const {
+  return !transfer.due || unconfirmed_.bytesOf(asker) < kMaxUnconfirmedBytesPerTransfer;
 }
 
 AnswerTransfers::Transfers::iterator AnswerTransfers::nextToSend() {
-  const bool is_ordered = std::any_of(transfers_.begin(), transfers_.end(), [](const auto& item) {
+  const bool has_due_transfer = std::any_of(transfers_.begin(), transfers_.end(), [](const auto& item) {
     return item.second.due && item.second.granted > 0;
   });
-  if (is_ordered && unconfirmed_.total() >= kMostUnconfirmed) return transfers_.end();
+  if (has_due_transfer && unconfirmed_.totalBytes() >= kMaxUnconfirmedBytes) return transfers_.end();
   auto best = transfers_.end();
   for (auto item = transfers_.begin(); item != transfers_.end(); ++item) {
     const auto& [asker, transfer] = *item;
-    if (transfer.granted == 0 || !hasRoom(asker, transfer)) continue;
-    if (best == transfers_.end() || transfer.mustEndBy() < best->second.mustEndBy()) best = item;
+    if (transfer.granted == 0 || !isBelowUnconfirmedLimit(asker, transfer)) continue;
+    if (best == transfers_.end() || transfer.effectiveDueTime() < best->second.effectiveDueTime())
+      best = item;
   }
   return best;
 }
@@ -135,34 +138,34 @@
   auto& transfer = item->second;
   wire::BodyPartT part;
   part.bytes =
-      nextBytes(transfer, transfer.due ? std::min(transfer.granted, kOrderedPartBytes) : transfer.granted);
+      nextBytes(transfer, transfer.due ? std::min(transfer.granted, kMaxDuePartBytes) : transfer.granted);
   transfer.granted -= part.bytes.size();
   if (transfer.due) unconfirmed_.onSent(asker, part.bytes.size(), now);
-  rate_.note(part.bytes.size(), now);
-  const bool is_whole = transfer.left() == 0;
+  rate_.onSent(part.bytes.size(), now);
+  const bool is_whole = transfer.unsentBytes() == 0;
   if (is_whole) part.end = wire::BodyEnd::Whole;
   actions_.send(asker.link, std::move(part), asker.request_id);
   if (!is_whole) return;
   unconfirmed_.finish(asker);
-  forget(item);
+  erase(item);
 }
 
 void AnswerTransfers::cancel(const GateAsker& asker) {
   unconfirmed_.forget(asker);
   const auto found = transfers_.find(asker);
-  if (found != transfers_.end()) forget(found);
+  if (found != transfers_.end()) erase(found);
 }
 
 void AnswerTransfers::cancelLink(runtime::LinkId link) {
   unconfirmed_.forgetLink(link);
   for (auto transfer = transfers_.begin(); transfer != transfers_.end();) {
-    transfer = transfer->first.link == link ? forget(transfer) : std::next(transfer);
+    transfer = transfer->first.link == link ? erase(transfer) : std::next(transfer);
   }
 }
 
 void AnswerTransfers::onTimer(TimePoint now) {
   for (auto transfer = transfers_.begin(); transfer != transfers_.end();) {
-    if (transfer->second.give_up_at > now) {
+    if (transfer->second.abort_at > now) {
       ++transfer;
       continue;
     }
@@ -170,7 +173,7 @@
     part.end = wire::BodyEnd::Broken;
     actions_.send(transfer->first.link, std::move(part), transfer->first.request_id);
     unconfirmed_.forget(transfer->first);
-    transfer = forget(transfer);
+    transfer = erase(transfer);
   }
   unconfirmed_.expire(now);
   sendGranted(now);
@@ -178,7 +181,7 @@
 
 TimePoint AnswerTransfers::nextTimer() const {
   TimePoint next = unconfirmed_.nextExpiry();
-  for (const auto& [asker, transfer] : transfers_) next = std::min(next, transfer.give_up_at);
+  for (const auto& [asker, transfer] : transfers_) next = std::min(next, transfer.abort_at);
   return next;
 }
 
--- a/src/sidecar/answer_transfers.h
+++ b/src/sidecar/answer_transfers.h
@@ -13,89 +13,92 @@
 
 namespace cometstand::sidecar {
 
-/// Sends the large answers of the target beside this sidecar to the sidecars that asked, in parts as those
-/// grant them, so that the other messages on a link pass in between. What is not granted yet is held here.
+/// Sends large responses of the local target to the requesting sidecars. A body is sent in parts, as the
+/// requester grants credit, so that other messages on the link are not blocked behind it. Bytes that are not
+/// granted yet are buffered here.
 ///
-/// Answers share this machine's link as they are granted, until some asker says when it must have its own: as
-/// long as there are such answers, what is granted goes in the order in which it must be there, with few
-/// bytes under way, so that an answer waits for those before it and not for all. It answers the load of
-/// many sidecars that stop while a link is full: with all answers sharing it, 1 or 2 of 20 overlapping stops
-/// ended with an answer half way, with the order none (tests/crowded_stop, seeds 1 to 5).
+/// Granted parts are sent at once, until some requester states a time by which it needs its response. While
+/// there are responses with such a due time, granted parts are sent earliest due time first and with few
+/// bytes in flight, so that a response waits only for those that are due before it. This covers overlapping
+/// planned stops of many sidecars behind a full link: without the order, 1 or 2 of 20 overlapping stops ended
+/// with an incomplete response, and none with it (tests/crowded_stop).
 ///
-/// Invariant: an answer ends with the word that it is whole, or that the rest will not come, or its asker has
-/// left.
+/// Invariant: each transfer ends with a part marked `Whole` or `Broken`, or with the requester's departure.
 class AnswerTransfers {
  public:
   explicit AnswerTransfers(runtime::ActionQueue& actions) : actions_(actions) {}
 
-  /// Sends the answer, or its first part if it is larger than what the asker takes in one message.
+  /// Sends the response, or only its first part if it exceeds the requester's initial credit.
   void send(const GateAsker& asker, wire::ForwardReplyT reply, TimePoint now);
   void onGrant(const GateAsker& asker, const wire::BodyGrantT& grant, TimePoint now);
-  /// The asker does not want the answer any more.
+  /// Drops the response after its requester has cancelled the request.
   void cancel(const GateAsker& asker);
   void cancelLink(runtime::LinkId link);
 
-  /// Gives up answers whose asker granted too little until it has no use for them.
+  /// Aborts the transfers whose deadline has passed before the requester granted the whole body.
   void onTimer(TimePoint now);
   TimePoint nextTimer() const;
 
-  /// @return answers that are not sent whole.
+  /// @return the number of responses that are not sent completely.
   std::size_t size() const { return transfers_.size(); }
-  /// @return the bytes of their bodies.
+  /// @return the total body size of the responses that are not sent completely.
   std::size_t heldBytes() const { return held_bytes_; }
-  /// @return the expected time until what is held has been sent. Answers whose askers have granted nothing
-  /// for long do not count, as they do not hold others up; zero until a rate was measured.
+  /// @return the expected time until all held bytes are sent; zero until a send rate is known. Stalled
+  /// transfers, whose requester has granted nothing for a while, do not delay others and are not counted.
   Duration expectedWait(TimePoint now) const;
-  /// @return true if so much is held that no further request should be run for other sidecars.
-  /// @param answer_bytes what its answer is expected to have.
+  /// @return true if so much is held that no further request of another sidecar should be admitted.
+  /// @param answer_bytes expected size of the response to that request.
+  /// @param credit initial credit of its requester.
   bool isFull(std::size_t answer_bytes, unsigned credit, TimePoint now) const;
-  /// @return once isFull(): the expected time until the link has sent enough for a further answer. Zero until
-  /// a rate was measured.
+  /// @return the expected time until isFull() becomes false; zero until a send rate is known.
   Duration timeUntilRoom(std::size_t answer_bytes, TimePoint now) const;
 
-  /// Of the answers that are held: about seven of the largest that are usual (540 KB, as our deployments
-  /// say). Requests that run already may add theirs, one for each slot of the target.
-  static constexpr std::size_t kMostHeldBytes = 4 * 1024 * 1024;
-  /// While what is held takes so long, no large answer is added. Then a planned stop of 6 s, which closes the
-  /// gate by as much earlier, still sends them all, and another endpoint, whose link may be idle, gets the
-  /// request.
-  static constexpr Duration kMostWait = std::chrono::seconds(2);
+  /// Limit of the buffered responses at which admission stops: about seven responses of 540 KB, the largest
+  /// usual size. Requests that already run may exceed it by one response for each slot of the target.
+  static constexpr std::size_t kMaxHeldBytes = 4 * 1024 * 1024;
+  /// No request with a large response is admitted while the expected wait is at least this long. A planned
+  /// stop of 6 s, which closes the gate earlier by the expected wait, then still sends all responses, and the
+  /// request is sent to another endpoint, whose link may be idle.
+  static constexpr Duration kMaxExpectedWait = std::chrono::seconds(2);
 
  private:
   struct Transfer {
     std::vector<std::uint8_t> body;
+    /// Body bytes sent so far.
     std::size_t sent = 0;
-    /// Of these, in the answer's first message.
-    std::size_t sent_first = 0;
-    /// Granted and not sent.
+    /// Body bytes sent in the first message of the response.
+    std::size_t sent_in_first_message = 0;
+    /// Bytes that are granted and not sent yet.
     std::size_t granted = 0;
-    /// When the asker must have it; none if it has said nothing.
+    /// The time by which the requester needs the whole response, if it has stated one.
     std::optional<TimePoint> due;
-    TimePoint give_up_at;
-    /// Of the newest grant.
-    TimePoint active_at;
+    /// The transfer is aborted at this time.
+    TimePoint abort_at;
+    /// Time of the latest grant.
+    TimePoint last_grant_at;
 
-    std::size_t left() const { return body.size() - sent; }
-    TimePoint mustEndBy() const { return due ? std::min(*due, give_up_at) : give_up_at; }
+    std::size_t unsentBytes() const { return body.size() - sent; }
+    TimePoint effectiveDueTime() const { return due ? std::min(*due, abort_at) : abort_at; }
   };
   using Transfers = std::map<GateAsker, Transfer>;
 
-  /// @return the time in which the link sends so many bytes; zero until a rate was measured.
-  Duration sendingTime(std::size_t bytes) const;
+  /// @return the time that the link needs to send the bytes; zero until a send rate is known.
+  Duration transmissionTime(std::size_t bytes) const;
   static std::vector<std::uint8_t> nextBytes(Transfer& transfer, std::size_t bytes);
-  void noteDue(const GateAsker& asker, Transfer& transfer, const wire::BodyGrantT& grant, TimePoint now);
+  void updateDueTime(const GateAsker& asker, Transfer& transfer, const wire::BodyGrantT& grant,
+                     TimePoint now);
   void sendGranted(TimePoint now);
-  /// @return the answer that gets the link next; the end if none may have it now.
+  /// @return the transfer whose next part is to be sent; the end if none may be sent now.
   Transfers::iterator nextToSend();
-  bool hasRoom(const GateAsker& asker, const Transfer& transfer) const;
+  bool isBelowUnconfirmedLimit(const GateAsker& asker, const Transfer& transfer) const;
   void sendPart(Transfers::iterator transfer, TimePoint now);
-  Transfers::iterator forget(Transfers::iterator transfer);
+  Transfers::iterator erase(Transfers::iterator transfer);
 
   runtime::ActionQueue& actions_;
   Transfers transfers_;
   std::size_t held_bytes_ = 0;
   SendRate rate_;
-  /// Of answers with a due time.
+  /// Tracks only responses with a due time.
   UnconfirmedBytes unconfirmed_;
 };
 
--- a/src/sidecar/send_rate.h
+++ b/src/sidecar/send_rate.h
@@ -8,47 +8,47 @@
 
 namespace cometstand::sidecar {
 
-/// How fast this sidecar can send large answers: the highest rate of the last seconds in which some were
-/// under way, as BBR (Cardwell et al., ACM Queue 2016) takes a link's bandwidth. Slow askers lower the newest
-/// rate, but not the highest.
+/// Estimates how fast this sidecar can send large responses: the highest rate of the last seconds in which
+/// transfers were active, a windowed maximum like the bandwidth estimate of BBR (Cardwell et al., ACM Queue
+/// 2016). Slow requesters lower the latest sample, but not the maximum.
 class SendRate {
  public:
-  /// Answers are under way from now on, and were not before.
+  /// Starts a new sample when transfers become active after an idle time.
   void begin(TimePoint now) {
-    if (now >= window_ends_ + kWindow) highest_ = before_ = 0;
-    span_began_ = now;
-    span_bytes_ = 0;
+    if (now >= window_ends_at_ + kWindowDuration) highest_ = previous_highest_ = 0;
+    sample_started_at_ = now;
+    sample_bytes_ = 0;
   }
 
-  void note(std::size_t bytes, TimePoint now) {
-    span_bytes_ += bytes;
-    const Duration time = now - span_began_;
-    if (time < kSpan) return;
-    const double rate = static_cast<double>(span_bytes_) / std::chrono::duration<double>(time).count();
-    if (now >= window_ends_) {
-      before_ = highest_;
+  void onSent(std::size_t bytes, TimePoint now) {
+    sample_bytes_ += bytes;
+    const Duration time = now - sample_started_at_;
+    if (time < kMinSampleDuration) return;
+    const double rate = static_cast<double>(sample_bytes_) / std::chrono::duration<double>(time).count();
+    if (now >= window_ends_at_) {
+      previous_highest_ = highest_;
       highest_ = 0;
-      window_ends_ = now + kWindow;
+      window_ends_at_ = now + kWindowDuration;
     }
     highest_ = std::max(highest_, rate);
     begin(now);
   }
 
-  /// @return 0 until it was measured.
-  double bytesPerSecond() const { return std::max(highest_, before_); }
+  /// @return 0 before the first sample.
+  double bytesPerSecond() const { return std::max(highest_, previous_highest_); }
 
  private:
-  /// Rates are measured over so much at least: what is granted at once, some 500 KB, goes to the kernel
-  /// faster than the link sends it.
-  static constexpr Duration kSpan = std::chrono::seconds(1);
-  /// The highest rate of this window and of the one before counts.
-  static constexpr Duration kWindow = std::chrono::seconds(5);
-
-  TimePoint span_began_;
-  std::size_t span_bytes_ = 0;
-  TimePoint window_ends_;
+  /// Minimum duration of a sample. Bytes that are granted at once, some 500 KB, are handed to the kernel
+  /// faster than the link sends them, so that shorter samples would overestimate the rate.
+  static constexpr Duration kMinSampleDuration = std::chrono::seconds(1);
+  /// Duration of a window. The estimate is the highest rate of the current and the previous window.
+  static constexpr Duration kWindowDuration = std::chrono::seconds(5);
+
+  TimePoint sample_started_at_;
+  std::size_t sample_bytes_ = 0;
+  TimePoint window_ends_at_;
   double highest_ = 0;
-  double before_ = 0;
+  double previous_highest_ = 0;
 };
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/unconfirmed_bytes.h
+++ b/src/sidecar/unconfirmed_bytes.h
@@ -9,63 +9,63 @@
 
 namespace cometstand::sidecar {
 
-/// Bytes of answers' bodies that were sent in parts and whose arrival their askers have not confirmed: what
-/// stands in the queues of this machine's link and cannot be overtaken any more.
+/// Tracks the bytes of response bodies that were sent in parts and that the requesters have not confirmed:
+/// these are queued on this machine's link, and later messages cannot overtake them.
 class UnconfirmedBytes {
  public:
-  /// Begins with what was sent so far.
+  /// Starts tracking a response of which some bytes may have been sent in parts before.
   void begin(const GateAsker& asker, std::size_t sent, std::size_t confirmed, TimePoint now) {
     entries_[asker] = {sent, confirmed, now, false};
   }
   void onSent(const GateAsker& asker, std::size_t bytes, TimePoint now) {
     auto& entry = entries_[asker];
-    if (entry.bytes() == 0) entry.active_at = now;
+    if (entry.bytes() == 0) entry.last_progress_at = now;
     entry.sent += bytes;
   }
-  /// @param received all bytes in parts that the asker has.
+  /// @param received total number of bytes that the requester has received in parts.
   void onConfirmed(const GateAsker& asker, std::size_t received, TimePoint now) {
     const auto found = entries_.find(asker);
     if (found == entries_.end()) return;
     auto& entry = found->second;
     if (received > entry.confirmed && received <= entry.sent) {
       entry.confirmed = received;
-      entry.active_at = now;
+      entry.last_progress_at = now;
     }
-    if (entry.is_whole && entry.bytes() == 0) entries_.erase(found);
+    if (entry.is_finished && entry.bytes() == 0) entries_.erase(found);
   }
-  /// Nothing more is sent of the answer.
+  /// Marks the response as completely sent; its entry is erased when all bytes are confirmed.
   void finish(const GateAsker& asker) {
     const auto found = entries_.find(asker);
-    if (found != entries_.end()) found->second.is_whole = true;
+    if (found != entries_.end()) found->second.is_finished = true;
   }
   void forget(const GateAsker& asker) { entries_.erase(asker); }
   void forgetLink(runtime::LinkId link) {
     std::erase_if(entries_, [link](const auto& item) { return item.first.link == link; });
   }
-  /// Takes for confirmed what nobody has confirmed for kConfirmTime.
+  /// Treats the bytes of a response as confirmed if no confirmation has arrived for kConfirmTimeout.
   void expire(TimePoint now) {
     for (auto& [asker, entry] : entries_) {
-      if (now >= entry.active_at + kConfirmTime) entry.confirmed = entry.sent;
+      if (now >= entry.last_progress_at + kConfirmTimeout) entry.confirmed = entry.sent;
     }
     std::erase_if(entries_,
-                  [](const auto& item) { return item.second.is_whole && item.second.bytes() == 0; });
+                  [](const auto& item) { return item.second.is_finished && item.second.bytes() == 0; });
   }
 
-  /// @return those of one asker's answer.
-  std::size_t of(const GateAsker& asker) const {
+  /// @return the unconfirmed bytes of one response.
+  std::size_t bytesOf(const GateAsker& asker) const {
     const auto found = entries_.find(asker);
     return found == entries_.end() ? 0 : found->second.bytes();
   }
-  std::size_t total() const {
+  std::size_t totalBytes() const {
     std::size_t bytes = 0;
     for (const auto& [asker, entry] : entries_) bytes += entry.bytes();
     return bytes;
   }
-  /// @return when expire() is due.
+  /// @return the time at which expire() must be called next.
   TimePoint nextExpiry() const {
     TimePoint next = TimePoint::max();
     for (const auto& [asker, entry] : entries_) {
-      if (entry.bytes() > 0) next = std::min(next, entry.active_at + kConfirmTime);
+      if (entry.bytes() > 0) next = std::min(next, entry.last_progress_at + kConfirmTimeout);
     }
     return next;
   }
@@ -74,17 +74,17 @@
   struct Entry {
     std::size_t sent = 0;
     std::size_t confirmed = 0;
-    /// Of the newest confirmation, or of the first bytes after all were confirmed.
-    TimePoint active_at;
+    /// Time of the latest confirmation, or of the first bytes sent after all others were confirmed.
+    TimePoint last_progress_at;
 
-    bool is_whole = false;
+    bool is_finished = false;
 
     std::size_t bytes() const { return sent - confirmed; }
   };
 
-  /// An asker that has confirmed nothing for so long is dead or cut off: behind a full link of 10 Mbit/s a
-  /// confirmation comes after 0.4 to 0.7 s (reckoned, with 30 askers of 16 KiB each).
-  static constexpr Duration kConfirmTime = std::chrono::milliseconds(1'500);
+  /// A requester without a confirmation for this long has failed or is unreachable. Behind a full link of
+  /// 10 Mbit/s, with 30 requesters of 16 KiB each, a confirmation takes an estimated 0.4 to 0.7 s.
+  static constexpr Duration kConfirmTimeout = std::chrono::milliseconds(1'500);
 
   std::map<GateAsker, Entry> entries_;
 };
--- a/tests/sidecar/large_answer_fixture.h
+++ b/tests/sidecar/large_answer_fixture.h
@@ -6,8 +6,8 @@
 
 namespace cometstand::sidecar::test {
 
-inline constexpr std::size_t kLargeAnswer = 90'000;
-inline constexpr std::uint32_t kCredit = 8'192;
+inline constexpr std::size_t kLargeResponseBytes = 90'000;
+inline constexpr std::uint32_t kInitialCreditBytes = 8'192;
 /// A link that another sidecar opened.
 inline constexpr runtime::LinkId kIncoming{runtime::kFirstIncomingLink};
 
@@ -17,18 +17,18 @@
   return body;
 }
 
-/// One sidecar that asks for large answers, or sends them.
+/// One sidecar that requests large responses or sends them.
 struct LargeAnswerFixture : SidecarFixture {
   LargeAnswerFixture() : SidecarFixture(makeStreamingOptions()) { configure(); }
 
   static SidecarOptions makeStreamingOptions() {
     auto options = makeOptions();
-    options.answer_credit = kCredit;
+    options.answer_credit = kInitialCreditBytes;
     return options;
   }
 
   template <typename Message>
-  void sayIncoming(Message message, std::uint64_t number) {
+  void receiveIncoming(Message message, std::uint64_t number) {
     core.onMessage(kIncoming, runtime::makeEnvelope(std::move(message), number), now);
     step();
   }
@@ -38,7 +38,7 @@
         sent.begin(), sent.end(), [type](const auto& item) { return item.message->body.type == type; }));
   }
 
-  /// @return the bytes granted since the last look.
+  /// @return the bytes granted since the last call.
   std::uint32_t takeGranted() {
     std::uint32_t bytes = 0;
     std::erase_if(sent, [&bytes](const auto& item) {
@@ -49,19 +49,19 @@
     return bytes;
   }
 
-  // ---- The asker's side: the endpoints are played by the test.
+  // ---- The sidecar is the requester; the test simulates the endpoints.
 
   void addPeers() {
     addPeer(kPeer);
     addPeer(kOtherPeer);
   }
 
-  struct Sending {
+  struct Attempt {
     runtime::Address peer;
     std::uint64_t number = 0;
   };
 
-  Sending takeSending() {
+  Attempt takeAttempt() {
     for (const auto& peer : {kPeer, kOtherPeer}) {
       if (!links.contains(peer)) continue;
       const auto numbers = forwardsTo(peer);
@@ -70,47 +70,48 @@
     return {};
   }
 
-  void beginAnswer(const Sending& sending) {
+  void beginResponse(const Attempt& attempt) {
     wire::ForwardReplyT head;
     head.outcome = wire::ForwardOutcome::Answered;
     head.status = 200;
     head.body_follows = true;
-    head.body = makeBody(kCredit);
-    body_sent = kCredit;
-    say(sending.peer, head, sending.number);
+    head.body = makeBody(kInitialCreditBytes);
+    sent_body_bytes = kInitialCreditBytes;
+    say(attempt.peer, head, attempt.number);
   }
 
-  void sendPart(const Sending& sending, std::size_t bytes, wire::BodyEnd end = wire::BodyEnd::Open) {
-    const auto body = makeBody(kLargeAnswer);
+  void sendPart(const Attempt& attempt, std::size_t bytes, wire::BodyEnd end = wire::BodyEnd::Open) {
+    const auto body = makeBody(kLargeResponseBytes);
     wire::BodyPartT part;
-    const auto begin = body.begin() + static_cast<std::ptrdiff_t>(body_sent);
+    const auto begin = body.begin() + static_cast<std::ptrdiff_t>(sent_body_bytes);
     part.bytes.assign(begin, begin + static_cast<std::ptrdiff_t>(bytes));
     part.end = end;
-    body_sent += bytes;
-    say(sending.peer, std::move(part), sending.number);
+    sent_body_bytes += bytes;
+    say(attempt.peer, std::move(part), attempt.number);
   }
 
-  /// The endpoint sends as it is granted until the answer is whole.
-  void sendRest(const Sending& sending) {
-    while (body_sent < kLargeAnswer) {
-      const std::size_t bytes = std::min<std::size_t>(takeGranted(), kLargeAnswer - body_sent);
+  /// Sends the granted bytes from the endpoint until the response is complete.
+  void sendRemainder(const Attempt& attempt) {
+    while (sent_body_bytes < kLargeResponseBytes) {
+      const std::size_t bytes = std::min<std::size_t>(takeGranted(), kLargeResponseBytes - sent_body_bytes);
       REQUIRE(bytes > 0);
       now += milliseconds(5);
-      const bool is_last = body_sent + bytes == kLargeAnswer;
-      sendPart(sending, bytes, is_last ? wire::BodyEnd::Whole : wire::BodyEnd::Open);
+      const bool is_last = sent_body_bytes + bytes == kLargeResponseBytes;
+      sendPart(attempt, bytes, is_last ? wire::BodyEnd::Whole : wire::BodyEnd::Open);
     }
   }
 
-  // ---- The gate's side: the asker is played by the test.
+  // ---- The sidecar serves the target; the test simulates the requester.
 
   void startTarget(unsigned slots = 2) {
-    auto beat = makeBeat("a", ++beats);
-    beat.slots = slots;
-    core.onHeartbeat(beat, now);
+    auto heartbeat = makeBeat("a", ++heartbeats);
+    heartbeat.slots = slots;
+    core.onHeartbeat(heartbeat, now);
     step();
   }
 
-  void ask(std::uint64_t number, std::uint32_t credit = kCredit, std::uint32_t deadline_ms = 2'000) {
+  void receiveRequest(std::uint64_t number, std::uint32_t credit = kInitialCreditBytes,
+                      std::uint32_t deadline_ms = 2'000) {
     wire::ForwardRequestT request;
     request.service = "shop";
     request.request_id = "in" + std::to_string(number);
@@ -118,10 +119,10 @@
     request.patience_ms = 200;
     request.objective_ms = 500;
     request.answer_credit = credit;
-    sayIncoming(std::move(request), number);
+    receiveIncoming(std::move(request), number);
   }
 
-  void finishRun(std::size_t bytes = kLargeAnswer) {
+  void finishRun(std::size_t bytes = kLargeResponseBytes) {
     RunResult result;
     result.reply.outcome = wire::ForwardOutcome::Answered;
     result.reply.status = 200;
@@ -133,10 +134,10 @@
   void grant(std::uint64_t number, std::uint32_t bytes) {
     wire::BodyGrantT message;
     message.bytes = bytes;
-    sayIncoming(message, number);
+    receiveIncoming(message, number);
   }
 
-  struct Seen {
+  struct ReceivedResponse {
     std::vector<std::uint8_t> body;
     wire::BodyEnd end = wire::BodyEnd::Open;
     wire::NotRunReason reason = wire::NotRunReason::None;
@@ -144,26 +145,26 @@
     std::uint32_t retry_after_ms = 0;
   };
 
-  /// @return what the asker has seen of the answer so far.
-  Seen seen(std::uint64_t number) const {
-    Seen answer;
+  /// @return what the requester has received of the response so far.
+  ReceivedResponse responseTo(std::uint64_t number) const {
+    ReceivedResponse response;
     for (const auto& item : sent) {
       if (item.link != kIncoming || item.message->request_id != number) continue;
       if (const auto* reply = item.message->body.AsForwardReply()) {
-        answer.body = reply->body;
-        answer.body_follows = reply->body_follows;
-        answer.reason = reply->reason;
-        answer.retry_after_ms = reply->retry_after_ms;
+        response.body = reply->body;
+        response.body_follows = reply->body_follows;
+        response.reason = reply->reason;
+        response.retry_after_ms = reply->retry_after_ms;
       } else if (const auto* part = item.message->body.AsBodyPart()) {
-        answer.body.insert(answer.body.end(), part->bytes.begin(), part->bytes.end());
-        answer.end = part->end;
+        response.body.insert(response.body.end(), part->bytes.begin(), part->bytes.end());
+        response.end = part->end;
       }
     }
-    return answer;
+    return response;
   }
 
-  std::size_t body_sent = 0;
-  std::uint64_t beats = 0;
+  std::size_t sent_body_bytes = 0;
+  std::uint64_t heartbeats = 0;
 };
 
 }  // namespace cometstand::sidecar::test
