--- a/src/sidecar/answer_forecast.h
+++ b/src/sidecar/answer_forecast.h
@@ -11,47 +11,48 @@
 
 namespace cometstand::sidecar {
 
-/// Learns how large the answers of each route are and when they begin to come, so that their bytes and their
-/// time can be weighed before a request is sent.
+/// Estimates the size and the latency of the responses of each route from past responses, so that both can be
+/// considered before a request is sent.
 class AnswerForecast {
  public:
-  /// @param bytes size of one answer's body.
+  /// @param bytes size of the body of one response.
   void noteSize(const std::string& route, std::size_t bytes) {
-    routes_[route].bytes.note(static_cast<double>(bytes));
+    routes_[route].bytes.add(static_cast<double>(bytes));
   }
-  /// @param time from a sending to the first of its answer.
+  /// @param time from the start of an attempt to the first byte of its response.
   void noteBeginning(const std::string& route, Duration time) {
-    routes_[route].seconds.note(std::chrono::duration<double>(time).count());
+    routes_[route].first_byte_seconds.add(std::chrono::duration<double>(time).count());
   }
 
-  /// @param time from a sending to the last of its answer.
+  /// @param time from the start of an attempt to the last byte of its response.
   void noteWhole(const std::string& route, Duration time) {
-    routes_[route].whole_seconds.note(std::chrono::duration<double>(time).count());
+    routes_[route].completion_seconds.add(std::chrono::duration<double>(time).count());
   }
 
-  /// @return the smoothed size of the route's answers; 0 before the first.
+  /// @return the smoothed size of the route's responses; 0 before the first one.
   std::size_t answerBytes(const std::string& route) const {
-    const auto known = routes_.find(route);
-    return known == routes_.end() ? 0 : static_cast<std::size_t>(known->second.bytes.mean());
+    const auto found = routes_.find(route);
+    return found == routes_.end() ? 0 : static_cast<std::size_t>(found->second.bytes.mean());
   }
 
-  /// @param bytes_per_second at which answers come.
-  /// @return a time in which nearly every answer of the route is whole; zero before the first.
+  /// @param bytes_per_second rate at which responses are received.
+  /// @return a time in which nearly every response of the route is complete; zero before the first one.
   Duration timeUntilWhole(const std::string& route, double bytes_per_second) const {
-    const auto known = routes_.find(route);
-    if (known == routes_.end()) return Duration::zero();
-    const double reckoned = known->second.seconds.high() + known->second.bytes.high() / bytes_per_second;
-    // Behind a full link of the sender the answer shares that link with others, of which this side knows
-    // nothing.
-    const double seconds = std::max(reckoned, known->second.whole_seconds.high());
+    const auto found = routes_.find(route);
+    if (found == routes_.end()) return Duration::zero();
+    const double computed_seconds =
+        found->second.first_byte_seconds.upperBound() + found->second.bytes.upperBound() / bytes_per_second;
+    // A full link of the sender is shared with responses to other requesters, which bytes_per_second does not
+    // cover. The observed completion times do.
+    const double seconds = std::max(computed_seconds, found->second.completion_seconds.upperBound());
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
   }
 
  private:
   struct Route {
     SmoothedValue bytes;
-    SmoothedValue seconds;
-    SmoothedValue whole_seconds;
+    SmoothedValue first_byte_seconds;
+    SmoothedValue completion_seconds;
   };
 
   std::map<std::string, Route> routes_;
--- a/src/sidecar/answer_intake.cpp
+++ b/src/sidecar/answer_intake.cpp
@@ -5,104 +5,104 @@
 
 namespace cometstand::sidecar {
 
-void AnswerIntake::begin(std::uint64_t sending, const wire::ForwardReplyT& reply, unsigned priority,
-                         Duration way, TimePoint now) {
+void AnswerIntake::begin(std::uint64_t attempt_id, const wire::ForwardReplyT& reply, unsigned priority,
+                         Duration extra_latency, TimePoint now) {
   now_ = now;
-  const auto grant_to = [this, sending](std::uint32_t bytes) { grant(sending, bytes); };
-  const auto flow = credit_.open(priority, ReceiveCredit::kUnknownSize, grant_to, now, way);
-  auto& answer = answers_.emplace(sending, Answer{reply, flow, std::nullopt}).first->second;
-  if (all_due_) expedite(answer, *all_due_);
+  const auto grant_to = [this, attempt_id](std::uint32_t bytes) { grant(attempt_id, bytes); };
+  const auto flow = credit_.open(priority, ReceiveCredit::kUnknownSize, grant_to, now, extra_latency);
+  auto& response = responses_.emplace(attempt_id, Response{reply, flow, std::nullopt}).first->second;
+  if (stop_due_) expedite(response, *stop_due_);
   credit_.grantMore(now);
 }
 
-void AnswerIntake::grant(std::uint64_t sending, std::uint32_t bytes) {
-  const auto& answer = answers_.at(sending);
+void AnswerIntake::grant(std::uint64_t attempt_id, std::uint32_t bytes) {
+  const auto& response = responses_.at(attempt_id);
   wire::BodyGrantT message;
   message.bytes = bytes;
-  if (answer.due) {
+  if (response.due) {
     message.due_ms =
-        static_cast<std::uint32_t>(std::max<std::int64_t>(1, ceilMilliseconds(*answer.due - now_)));
-    message.received = static_cast<std::uint32_t>(credit_.received(answer.flow));
+        static_cast<std::uint32_t>(std::max<std::int64_t>(1, ceilMilliseconds(*response.due - now_)));
+    message.received = static_cast<std::uint32_t>(credit_.received(response.flow));
   }
-  grant_(sending, message);
+  grant_(attempt_id, message);
 }
 
-void AnswerIntake::confirm(std::uint64_t sending) {
-  if (answers_.at(sending).due) grant(sending, 0);
+void AnswerIntake::confirm(std::uint64_t attempt_id) {
+  if (responses_.at(attempt_id).due) grant(attempt_id, 0);
 }
 
-AnswerIntake::Progress AnswerIntake::onPart(std::uint64_t sending, const wire::BodyPartT& part,
+AnswerIntake::Progress AnswerIntake::onPart(std::uint64_t attempt_id, const wire::BodyPartT& part,
                                             TimePoint now) {
-  const auto found = answers_.find(sending);
-  if (found == answers_.end()) return Progress::Unknown;
+  const auto found = responses_.find(attempt_id);
+  if (found == responses_.end()) return Progress::Unknown;
   now_ = now;
   auto& [reply, flow, due] = found->second;
   const bool is_granted = credit_.onReceived(flow, part.bytes.size(), now);
   if (!is_granted || part.end == wire::BodyEnd::Broken) {
-    drop(sending, now);
+    drop(attempt_id, now);
     return Progress::Broken;
   }
   reply.body.insert(reply.body.end(), part.bytes.begin(), part.bytes.end());
   const bool is_whole = part.end == wire::BodyEnd::Whole;
-  confirm(sending);
+  confirm(attempt_id);
   if (is_whole) credit_.close(flow);
   credit_.grantMore(now);
   return is_whole ? Progress::Whole : Progress::Open;
 }
 
-wire::ForwardReplyT AnswerIntake::take(std::uint64_t sending) {
-  auto reply = std::move(answers_.at(sending).reply);
-  answers_.erase(sending);
+wire::ForwardReplyT AnswerIntake::take(std::uint64_t attempt_id) {
+  auto reply = std::move(responses_.at(attempt_id).reply);
+  responses_.erase(attempt_id);
   reply.body_follows = false;
   return reply;
 }
 
-wire::ForwardReplyT AnswerIntake::pass(std::uint64_t sending) {
-  auto& [reply, flow, due] = answers_.at(sending);
-  credit_.setReader(flow, reply.body.size(), kMostUnread);
+wire::ForwardReplyT AnswerIntake::pass(std::uint64_t attempt_id) {
+  auto& [reply, flow, due] = responses_.at(attempt_id);
+  credit_.setReader(flow, reply.body.size(), kMaxUnreadBytes);
   auto head = reply;
   reply.body.clear();
   return head;
 }
 
-std::vector<std::uint8_t> AnswerIntake::takePart(std::uint64_t sending) {
-  return std::exchange(answers_.at(sending).reply.body, {});
+std::vector<std::uint8_t> AnswerIntake::takePart(std::uint64_t attempt_id) {
+  return std::exchange(responses_.at(attempt_id).reply.body, {});
 }
 
-void AnswerIntake::onRead(std::uint64_t sending, std::size_t bytes, TimePoint now) {
-  const auto found = answers_.find(sending);
-  if (found == answers_.end()) return;
+void AnswerIntake::onRead(std::uint64_t attempt_id, std::size_t bytes, TimePoint now) {
+  const auto found = responses_.find(attempt_id);
+  if (found == responses_.end()) return;
   now_ = now;
   credit_.onRead(found->second.flow, bytes);
   credit_.grantMore(now);
 }
 
-void AnswerIntake::expedite(Answer& answer, TimePoint due) {
-  answer.due = due;
-  credit_.expedite(answer.flow);
+void AnswerIntake::expedite(Response& response, TimePoint due) {
+  response.due = due;
+  credit_.expedite(response.flow);
 }
 
 void AnswerIntake::expediteAll(TimePoint due, TimePoint now) {
   now_ = now;
-  all_due_ = due;
-  for (auto& [sending, answer] : answers_) expedite(answer, due);
+  stop_due_ = due;
+  for (auto& [attempt_id, response] : responses_) expedite(response, due);
   credit_.grantMore(now);
 }
 
-void AnswerIntake::expedite(std::uint64_t sending, TimePoint due, TimePoint now) {
-  const auto found = answers_.find(sending);
-  if (found == answers_.end() || found->second.due) return;
+void AnswerIntake::expedite(std::uint64_t attempt_id, TimePoint due, TimePoint now) {
+  const auto found = responses_.find(attempt_id);
+  if (found == responses_.end() || found->second.due) return;
   now_ = now;
   expedite(found->second, due);
   credit_.grantMore(now);
 }
 
-void AnswerIntake::drop(std::uint64_t sending, TimePoint now) {
-  const auto found = answers_.find(sending);
-  if (found == answers_.end()) return;
+void AnswerIntake::drop(std::uint64_t attempt_id, TimePoint now) {
+  const auto found = responses_.find(attempt_id);
+  if (found == responses_.end()) return;
   now_ = now;
   credit_.close(found->second.flow);
-  answers_.erase(found);
+  responses_.erase(found);
   credit_.grantMore(now);
 }
 
--- a/src/sidecar/answer_intake.h
+++ b/src/sidecar/answer_intake.h
@@ -11,83 +11,87 @@
 
 namespace cometstand::sidecar {
 
-/// Collects the large answers to this sidecar's requests, whose bodies come in parts as they are granted.
-/// An answer is handed out only when its sender said that it is whole.
+/// Collects the large responses to this sidecar's requests, whose bodies are received in parts by credit. A
+/// response is delivered as complete only after its sender has marked it so.
 class AnswerIntake {
  public:
-  /// Tells the endpoint that got the sending that it may send more bytes.
-  using Grant = std::function<void(std::uint64_t sending, const wire::BodyGrantT& grant)>;
+  /// Sends a grant to the endpoint that processes the attempt.
+  using Grant = std::function<void(std::uint64_t attempt_id, const wire::BodyGrantT& grant)>;
 
-  /// What a part made of an answer.
+  /// State of a response after a part was received.
   enum class Progress : std::uint8_t {
-    /// No answer comes under that number any more.
+    /// There is no response in transfer for this attempt.
     Unknown,
-    /// More follows.
+    /// More parts follow.
     Open,
-    /// take() gives it.
+    /// The response is complete; take() returns it.
     Whole,
-    /// The rest will not come, or more came than was granted. The answer is forgotten.
+    /// The sender aborted the response or sent more than was granted. The response was discarded.
     Broken,
   };
 
   /// @param credit must outlive the object.
   AnswerIntake(ReceiveCredit& credit, Grant grant) : credit_(credit), grant_(std::move(grant)) {}
 
-  /// @param reply the answer with the first bytes of its body.
-  /// @param priority of the request: the lower, the sooner its answer is granted.
-  /// @param way see ReceiveCredit::open().
-  void begin(std::uint64_t sending, const wire::ForwardReplyT& reply, unsigned priority, Duration way,
-             TimePoint now);
-  Progress onPart(std::uint64_t sending, const wire::BodyPartT& part, TimePoint now);
-  /// @return the whole answer, which is forgotten here.
-  wire::ForwardReplyT take(std::uint64_t sending);
-  /// @return true if so much was collected that the answer is to be passed on before it is whole.
-  bool isDue(std::uint64_t sending) const { return answers_.at(sending).reply.body.size() >= kMostCollected; }
-  /// From now on the answer is passed on by takePart() as it comes, and granted as its reader takes it.
-  /// @return what came so far.
-  wire::ForwardReplyT pass(std::uint64_t sending);
-  /// @return the bytes that came since the last call.
-  std::vector<std::uint8_t> takePart(std::uint64_t sending);
-  /// The reader of an answer that is passed on took bytes.
-  void onRead(std::uint64_t sending, std::size_t bytes, TimePoint now);
-  /// From now on all answers, those that come later too, are granted as fast as they can come: this sidecar
-  /// must have them before its planned stop ends. Their senders are told when that is, and what has come.
+  /// Starts to collect a response.
+  /// @param reply the response with the first bytes of its body.
+  /// @param priority of the request; responses with a lower value are granted first.
+  /// @param extra_latency see ReceiveCredit::open().
+  void begin(std::uint64_t attempt_id, const wire::ForwardReplyT& reply, unsigned priority,
+             Duration extra_latency, TimePoint now);
+  Progress onPart(std::uint64_t attempt_id, const wire::BodyPartT& part, TimePoint now);
+  /// @return the complete response, which is removed.
+  wire::ForwardReplyT take(std::uint64_t attempt_id);
+  /// @return true if so many bytes are buffered that the response should be streamed to its caller by pass().
+  bool isDue(std::uint64_t attempt_id) const {
+    return responses_.at(attempt_id).reply.body.size() >= kStreamingThresholdBytes;
+  }
+  /// Switches the response to streaming: takePart() returns the bytes as they arrive, and credit is granted
+  /// as the reader consumes them.
+  /// @return the response with the bytes received so far.
+  wire::ForwardReplyT pass(std::uint64_t attempt_id);
+  /// @return the bytes received since the last call.
+  std::vector<std::uint8_t> takePart(std::uint64_t attempt_id);
+  /// Records that the reader of a streamed response has consumed bytes.
+  void onRead(std::uint64_t attempt_id, std::size_t bytes, TimePoint now);
+  /// Expedites all current and future responses, because this sidecar needs them before its planned stop
+  /// ends. Their grants state the due time and the bytes received so far.
   void expediteAll(TimePoint due, TimePoint now);
-  /// The same for one answer, if there is one under the number: its sender stops.
-  void expedite(std::uint64_t sending, TimePoint due, TimePoint now);
-  /// Forgets the answer, if there is one.
-  void drop(std::uint64_t sending, TimePoint now);
+  /// Expedites one response, if it is in transfer, because its sender is about to stop.
+  void expedite(std::uint64_t attempt_id, TimePoint due, TimePoint now);
+  /// Discards the response, if it is in transfer.
+  void drop(std::uint64_t attempt_id, TimePoint now);
 
-  bool contains(std::uint64_t sending) const { return answers_.contains(sending); }
-  std::size_t size() const { return answers_.size(); }
+  bool contains(std::uint64_t attempt_id) const { return responses_.contains(attempt_id); }
+  std::size_t size() const { return responses_.size(); }
 
-  /// While so little came, an answer that breaks off may still be asked for again, as its caller has seen
-  /// nothing of it: most answers are whole by then.
-  static constexpr std::size_t kMostCollected = 128 * 1024;
-  /// Bytes of an answer that is passed on which its reader has not taken: what a reader takes from a local
-  /// connection at once, and little memory for one that takes nothing.
-  static constexpr std::size_t kMostUnread = 64 * 1024;
+  /// A response is streamed once this many bytes are received. Below that, a request whose response is
+  /// aborted can still be retried, as the caller has received nothing. Most responses are complete before.
+  static constexpr std::size_t kStreamingThresholdBytes = 128 * 1024;
+  /// Limit of the bytes of a streamed response that its reader has not consumed: about what a reader consumes
+  /// from a local connection at once, and little memory for a reader that has stalled.
+  static constexpr std::size_t kMaxUnreadBytes = 64 * 1024;
 
  private:
-  struct Answer {
+  struct Response {
     wire::ForwardReplyT reply;
     ReceiveCredit::Flow flow;
-    /// Of an expedited one.
+    /// The due time of an expedited response.
     std::optional<TimePoint> due;
   };
 
-  void expedite(Answer& answer, TimePoint due);
-  void grant(std::uint64_t sending, std::uint32_t bytes);
-  /// Tells the sender of an expedited answer what has come.
-  void confirm(std::uint64_t sending);
+  void expedite(Response& response, TimePoint due);
+  void grant(std::uint64_t attempt_id, std::uint32_t bytes);
+  /// Reports the received bytes to the sender of an expedited response.
+  void confirm(std::uint64_t attempt_id);
 
   ReceiveCredit& credit_;
   Grant grant_;
-  /// By the number under which the request was sent.
-  std::map<std::uint64_t, Answer> answers_;
-  /// Of this sidecar's planned stop.
-  std::optional<TimePoint> all_due_;
-  /// Of the newest event.
+  /// Responses in transfer by the ID of the attempt.
+  std::map<std::uint64_t, Response> responses_;
+  /// The end of this sidecar's planned stop, after expediteAll().
+  std::optional<TimePoint> stop_due_;
+  /// Time of the latest event.
   TimePoint now_;
 };
 
--- a/src/sidecar/arrival_times.h
+++ b/src/sidecar/arrival_times.h
@@ -8,17 +8,17 @@
 
 namespace cometstand::sidecar {
 
-/// When the requests came that are not answered yet: each reply tells its asker how long the request was
-/// here, so that the asker knows what the way took.
+/// Arrival times of the requests that have no reply yet. Each reply carries the time that the request spent
+/// in this sidecar, so that the requester can compute the network latency.
 class ArrivalTimes {
  public:
   void note(const GateAsker& asker, TimePoint now) { arrivals_[asker] = now; }
   void forget(const GateAsker& asker) { arrivals_.erase(asker); }
-  /// The link ended, so nothing that came over it is answered.
+  /// Removes all requests of a closed link, as none of them gets a reply.
   void forgetLink(runtime::LinkId link) {
     std::erase_if(arrivals_, [link](const auto& item) { return item.first.link == link; });
   }
-  /// @return how long the request was here; zero if its arrival is not known. It is forgotten.
+  /// Removes the request. @return the time since its arrival; zero if the arrival is unknown.
   Duration take(const GateAsker& asker, TimePoint now) {
     const auto arrival = arrivals_.find(asker);
     if (arrival == arrivals_.end()) return Duration::zero();
--- a/src/sidecar/body_intake.cpp
+++ b/src/sidecar/body_intake.cpp
@@ -12,10 +12,11 @@
 
 }  // namespace
 
-/// @return what is left of the request's patience, but enough of it that the bytes were not sent for nothing.
-std::uint32_t BodyIntake::patienceLeft(const Transfer& transfer, TimePoint now) {
-  const Duration patience = std::chrono::milliseconds(transfer.request->patience_ms);
-  return wholeMilliseconds(std::max(patience - (now - transfer.announced_at), patience / 2));
+/// @return the remaining queue time of the request, but at least half of the original one: a request whose
+/// body was transferred must not be rejected because the transfer used up its queue time.
+std::uint32_t BodyIntake::remainingQueueTime(const Transfer& transfer, TimePoint now) {
+  const Duration queue_time = std::chrono::milliseconds(transfer.request->patience_ms);
+  return wholeMilliseconds(std::max(queue_time - (now - transfer.announced_at), queue_time / 2));
 }
 
 BodyIntake::Transfers::iterator BodyIntake::find(const GateAsker& asker) {
@@ -23,47 +24,47 @@
                       [&asker](const Transfer& transfer) { return transfer.asker == asker; });
 }
 
-std::size_t BodyIntake::bytesToCome() const {
+std::size_t BodyIntake::unreceivedBytes() const {
   std::size_t bytes = 0;
-  for (const auto& transfer : transfers_) bytes += transfer.expected - transfer.received();
+  for (const auto& transfer : transfers_) bytes += transfer.expected_bytes - transfer.receivedBytes();
   return bytes;
 }
 
 Duration BodyIntake::expectedWait() const {
-  const double seconds = static_cast<double>(bytesToCome()) / credit_.rate();
+  const double seconds = static_cast<double>(unreceivedBytes()) / credit_.rate();
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
 void BodyIntake::announce(const GateAsker& asker, std::shared_ptr<wire::ForwardRequestT> request,
                           TimePoint now) {
-  const Duration patience = std::chrono::milliseconds(request->patience_ms);
-  if (expectedWait() > patience) {
+  const Duration queue_time = std::chrono::milliseconds(request->patience_ms);
+  if (expectedWait() > queue_time) {
     listener_.refuse(asker, *request, wire::NotRunReason::Full);
     return;
   }
   Transfer transfer;
   transfer.asker = asker;
-  transfer.expected = request->announced_bytes;
+  transfer.expected_bytes = request->announced_bytes;
   transfer.announced_at = now;
   transfer.deadline = now + std::chrono::milliseconds(request->deadline_ms);
-  transfer.begin_by = std::min(transfer.deadline, now + patience);
+  transfer.start_by = std::min(transfer.deadline, now + queue_time);
   transfer.request = std::move(request);
   transfer.request->body.clear();
   const auto grant = [this, asker](std::uint32_t bytes) { listener_.grant(asker, bytes); };
-  transfer.flow = credit_.open(transfer.request->priority, transfer.expected, grant, now);
+  transfer.flow = credit_.open(transfer.request->priority, transfer.expected_bytes, grant, now);
   transfers_.push_back(std::move(transfer));
   credit_.grantMore(now);
 }
 
 void BodyIntake::onPart(const GateAsker& asker, const std::vector<std::uint8_t>& bytes, TimePoint now) {
   const auto transfer = find(asker);
-  // Refused or given up meanwhile.
+  // The request may have been rejected or cancelled while the part was in flight.
   if (transfer == transfers_.end()) return;
   if (!credit_.onReceived(transfer->flow, bytes.size(), now)) return;
   auto& body = transfer->request->body;
-  if (body.empty()) body.reserve(transfer->expected);
+  if (body.empty()) body.reserve(transfer->expected_bytes);
   body.insert(body.end(), bytes.begin(), bytes.end());
-  if (transfer->received() < transfer->expected) {
+  if (transfer->receivedBytes() < transfer->expected_bytes) {
     credit_.grantMore(now);
     return;
   }
@@ -72,7 +73,7 @@
   credit_.close(done.flow);
   credit_.grantMore(now);
   done.request->deadline_ms = wholeMilliseconds(std::max(done.deadline - now, Duration::zero()));
-  done.request->patience_ms = patienceLeft(done, now);
+  done.request->patience_ms = remainingQueueTime(done, now);
   listener_.whole(done.asker, done.request);
 }
 
@@ -93,38 +94,38 @@
   credit_.grantMore(now);
 }
 
-void BodyIntake::refuseAll(Transfers& refused, wire::NotRunReason reason) {
-  for (const auto& transfer : refused) credit_.close(transfer.flow);
-  for (const auto& transfer : refused) listener_.refuse(transfer.asker, *transfer.request, reason);
+void BodyIntake::rejectAll(Transfers& rejected, wire::NotRunReason reason) {
+  for (const auto& transfer : rejected) credit_.close(transfer.flow);
+  for (const auto& transfer : rejected) listener_.refuse(transfer.asker, *transfer.request, reason);
 }
 
 void BodyIntake::refuseUnbegun(wire::NotRunReason reason, TimePoint now) {
-  Transfers refused;
+  Transfers rejected;
   for (auto transfer = transfers_.begin(); transfer != transfers_.end();) {
     const auto next = std::next(transfer);
-    if (!hasBegun(*transfer)) refused.splice(refused.end(), transfers_, transfer);
+    if (!hasStarted(*transfer)) rejected.splice(rejected.end(), transfers_, transfer);
     transfer = next;
   }
-  refuseAll(refused, reason);
+  rejectAll(rejected, reason);
   credit_.grantMore(now);
 }
 
 void BodyIntake::onTimer(TimePoint now) {
-  Transfers refused;
+  Transfers rejected;
   for (auto transfer = transfers_.begin(); transfer != transfers_.end();) {
     const auto next = std::next(transfer);
-    const bool is_late = hasBegun(*transfer) ? transfer->deadline <= now : transfer->begin_by <= now;
-    if (is_late) refused.splice(refused.end(), transfers_, transfer);
+    const bool is_overdue = hasStarted(*transfer) ? transfer->deadline <= now : transfer->start_by <= now;
+    if (is_overdue) rejected.splice(rejected.end(), transfers_, transfer);
     transfer = next;
   }
-  refuseAll(refused, wire::NotRunReason::Full);
+  rejectAll(rejected, wire::NotRunReason::Full);
   credit_.onTimer(now);
 }
 
 TimePoint BodyIntake::nextTimer() const {
   TimePoint next = credit_.nextTimer();
   for (const auto& transfer : transfers_) {
-    next = std::min(next, hasBegun(transfer) ? transfer.deadline : transfer.begin_by);
+    next = std::min(next, hasStarted(transfer) ? transfer.deadline : transfer.start_by);
   }
   return next;
 }
--- a/src/sidecar/body_intake.h
+++ b/src/sidecar/body_intake.h
@@ -12,35 +12,36 @@
 
 namespace cometstand::sidecar {
 
-/// Receives the large bodies of requests for the target beside this sidecar, by credit: a sender announces a
-/// body, and sends only as many bytes as it was granted. A body that could not come in time is refused before
-/// any of it is sent.
+/// Receives large request bodies for the local target by credit: a sender announces a body and sends only as
+/// many bytes as it was granted. A body that could not be received in time is rejected before any of it is
+/// sent.
 class BodyIntake {
  public:
   struct Listener {
-    /// Sends a grant to the asker.
+    /// Sends a grant to the requester.
     std::function<void(const GateAsker&, std::uint32_t bytes)> grant;
-    /// The body is whole; the request holds it.
+    /// Called when the body, which the request contains, is complete.
     std::function<void(const GateAsker&, std::shared_ptr<wire::ForwardRequestT>)> whole;
-    /// The request is refused: no part of it was passed on.
+    /// Called when the request is rejected. No part of it was forwarded to the target.
     std::function<void(const GateAsker&, const wire::ForwardRequestT&, wire::NotRunReason)> refuse;
   };
 
   /// @param credit must outlive the object.
   BodyIntake(ReceiveCredit& credit, Listener listener) : credit_(credit), listener_(std::move(listener)) {}
 
-  /// Takes an announced request, or refuses it at once if its body cannot come within its patience.
+  /// Accepts an announced request, or rejects it at once if its body could not start within the maximum queue
+  /// time of the request (`patience_ms`).
   void announce(const GateAsker& asker, std::shared_ptr<wire::ForwardRequestT> request, TimePoint now);
   void onPart(const GateAsker& asker, const std::vector<std::uint8_t>& bytes, TimePoint now);
   void cancel(const GateAsker& asker, TimePoint now);
   void cancelLink(runtime::LinkId link, TimePoint now);
-  /// Refuses all whose sender was not granted anything yet, for example when the target leaves.
+  /// Rejects all requests whose sender has no grant yet, for example when the target starts to leave.
   void refuseUnbegun(wire::NotRunReason reason, TimePoint now);
 
   void onTimer(TimePoint now);
   TimePoint nextTimer() const;
 
-  /// @return the expected time until a body that is announced now would begin to come.
+  /// @return the expected time until the first grant of a body that is announced now.
   Duration expectedWait() const;
   std::size_t size() const { return transfers_.size(); }
 
@@ -48,27 +49,27 @@
   struct Transfer {
     GateAsker asker;
     std::shared_ptr<wire::ForwardRequestT> request;
-    std::size_t expected = 0;
+    std::size_t expected_bytes = 0;
     ReceiveCredit::Flow flow;
     TimePoint announced_at;
-    /// The body is refused if nothing of it was granted by then.
-    TimePoint begin_by;
+    /// The request is rejected if it has no grant by this time.
+    TimePoint start_by;
     TimePoint deadline;
 
-    std::size_t received() const { return request->body.size(); }
+    std::size_t receivedBytes() const { return request->body.size(); }
   };
   using Transfers = std::list<Transfer>;
 
-  static std::uint32_t patienceLeft(const Transfer& transfer, TimePoint now);
+  static std::uint32_t remainingQueueTime(const Transfer& transfer, TimePoint now);
   Transfers::iterator find(const GateAsker& asker);
-  bool hasBegun(const Transfer& transfer) const { return credit_.granted(transfer.flow) > 0; }
-  /// Forgets the transfers and refuses their requests.
-  void refuseAll(Transfers& refused, wire::NotRunReason reason);
-  std::size_t bytesToCome() const;
+  bool hasStarted(const Transfer& transfer) const { return credit_.granted(transfer.flow) > 0; }
+  /// Closes the flows of the transfers and rejects their requests.
+  void rejectAll(Transfers& rejected, wire::NotRunReason reason);
+  std::size_t unreceivedBytes() const;
 
   ReceiveCredit& credit_;
   Listener listener_;
-  /// In the order of their announcements.
+  /// Transfers in the order of their announcements.
   Transfers transfers_;
 };
 
--- a/src/sidecar/control_client.cpp
+++ b/src/sidecar/control_client.cpp
@@ -12,16 +12,17 @@
 namespace {
 
 constexpr Duration kCheckInterval = std::chrono::milliseconds(250);
-/// A source without a beat for this long is taken for dead; its beats come every 300 ms.
-constexpr Duration kSourceSilence = std::chrono::milliseconds(1'200);
-/// The same for a store that is not the source; its beats come every 15 s.
-constexpr Duration kStoreSilence = std::chrono::seconds(35);
+/// A source that sends nothing for this long is treated as failed; it sends a heartbeat every 300 ms.
+constexpr Duration kSourceTimeout = std::chrono::milliseconds(1'200);
+/// Like kSourceTimeout, for a store that is not the source and sends a heartbeat every 15 s.
+constexpr Duration kStoreTimeout = std::chrono::seconds(35);
 
-/// After a cut a sidecar that has a configuration takes no store of another zone for this long, while one of
-/// its own zone may come back: each new source sends it the whole list of endpoints. Some reconnects.
-constexpr Duration kNearStorePatience = std::chrono::milliseconds(500);
-/// A store that no beat names any more, and that does not answer, is forgotten after this time.
-constexpr Duration kUnnamedLease = std::chrono::seconds(10);
+/// After the source is lost, a sidecar that has a configuration selects no store of another zone for this
+/// long while one of its own zone may reconnect, because each new source sends the full list of endpoints. It
+/// spans a few reconnect attempts.
+constexpr Duration kSameZoneGracePeriod = std::chrono::milliseconds(500);
+/// A store that is not linked and that no heartbeat lists any more is removed after this time.
+constexpr Duration kUnlistedStoreRetention = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -37,7 +38,7 @@
 void ControlClient::setSeeds(std::vector<Address> seeds, TimePoint now) {
   seeds_ = std::move(seeds);
   for (const auto& seed : seeds_) {
-    stores_[seed].named_at = now;
+    stores_[seed].last_listed_at = now;
     links_.add(seed, now);
   }
   links_.onTimer(now);
@@ -47,7 +48,7 @@
   const auto address = links_.onLinkOpened(link);
   if (!address) return;
   logEvent(kStoreLinked, {{"store", settings::formatAddress(*address)}});
-  stores_[*address].heard_at = now;
+  stores_[*address].last_message_at = now;
   wire::NodeHelloT hello;
   hello.node = options_.node;
   hello.zone = options_.zone;
@@ -73,19 +74,19 @@
 }
 
 std::optional<Address> ControlClient::askForQuota(const wire::QuotaRequestT& request,
-                                                  const std::optional<Address>& wanted,
-                                                  const std::optional<Address>& silent) {
-  std::vector<std::optional<Address>> choices{wanted};
-  if (source_ != silent) choices.push_back(source_);
+                                                  const std::optional<Address>& preferred,
+                                                  const std::optional<Address>& unresponsive) {
+  std::vector<std::optional<Address>> candidates{preferred};
+  if (source_ != unresponsive) candidates.push_back(source_);
   for (const auto& [address, store] : stores_) {
-    if (address != silent) choices.emplace_back(address);
+    if (address != unresponsive) candidates.emplace_back(address);
   }
-  choices.push_back(silent);
-  for (const auto& choice : choices) {
-    const auto link = choice ? links_.linkTo(*choice) : std::nullopt;
+  candidates.push_back(unresponsive);
+  for (const auto& candidate : candidates) {
+    const auto link = candidate ? links_.linkTo(*candidate) : std::nullopt;
     if (!link) continue;
     actions_.send(*link, request, 0);
-    return choice;
+    return candidate;
   }
   return std::nullopt;
 }
@@ -108,46 +109,47 @@
 void ControlClient::onMessage(LinkId link, const wire::EnvelopeT& message, TimePoint now) {
   const auto address = links_.addressOf(link);
   if (!address) return;
-  stores_[*address].heard_at = now;
+  stores_[*address].last_message_at = now;
   const bool is_source = source_ == address;
-  if (const auto* beat = message.body.AsStoreBeat()) {
-    onBeat(*address, link, *beat, now);
+  if (const auto* heartbeat = message.body.AsStoreBeat()) {
+    onStoreHeartbeat(*address, link, *heartbeat, now);
   } else if (const auto* update = message.body.AsMeshUpdate()) {
     stores_[*address].revision = std::max(stores_[*address].revision, update->revision);
     onUpdate(*update, now);
   } else if (const auto* endpoints = message.body.AsEndpointUpdate()) {
-    if (is_source) listener_.onEndpoints(*endpoints, std::exchange(awaits_whole_, false), now);
+    if (is_source) listener_.onEndpoints(*endpoints, std::exchange(awaits_full_update_, false), now);
   } else if (const auto* rollouts = message.body.AsRolloutUpdate()) {
     if (is_source) listener_.onRollouts(*rollouts, now);
   } else if (const auto* quarantine = message.body.AsQuarantineUpdate()) {
     if (is_source) listener_.onQuarantine(*quarantine);
   } else if (const auto* evacuations = message.body.AsEvacuationUpdate()) {
-    // From any store: the newest word counts, whoever brings it.
+    // Accepted from any store, as the latest state takes precedence irrespective of its sender.
     listener_.onEvacuations(*evacuations, now);
-  } else if (const auto* taken = message.body.AsCrashReport()) {
-    listener_.onCrashReportTaken(taken->instance);
+  } else if (const auto* acknowledged_report = message.body.AsCrashReport()) {
+    listener_.onCrashReportTaken(acknowledged_report->instance);
   } else if (const auto* grant = message.body.AsQuotaGrant()) {
     listener_.onQuotaGrant(*address, *grant, now);
   }
 }
 
-void ControlClient::onBeat(const Address& address, LinkId link, const wire::StoreBeatT& beat, TimePoint now) {
+void ControlClient::onStoreHeartbeat(const Address& address, LinkId link, const wire::StoreBeatT& heartbeat,
+                                     TimePoint now) {
   auto& store = stores_[address];
-  store.is_current = beat.is_current;
-  store.revision = beat.revision;
-  store.told_at = now;
-  learnStores(beat, now);
-  // The answer to the beat shows that this sidecar is alive.
+  store.is_current = heartbeat.is_current;
+  store.revision = heartbeat.revision;
+  store.last_heartbeat_at = now;
+  updateStores(heartbeat, now);
+  // The response to the heartbeat shows the store that this sidecar is alive.
   actions_.send(link, wire::EndpointUpdateT(), 0);
   chooseSource(now);
 }
 
-void ControlClient::learnStores(const wire::StoreBeatT& beat, TimePoint now) {
-  for (const auto& replica : beat.replicas) {
+void ControlClient::updateStores(const wire::StoreBeatT& heartbeat, TimePoint now) {
+  for (const auto& replica : heartbeat.replicas) {
     const Address address{replica->host, replica->port};
     auto& store = stores_[address];
     store.zone = replica->zone;
-    store.named_at = now;
+    store.last_listed_at = now;
     links_.add(address, now);
   }
 }
@@ -159,8 +161,8 @@
     const mesh::Bytes none;
     const bool is_patch = update.base_revision != 0;
     if (is_patch && update.base_revision != revision_) {
-      throw Error(ErrorKind::Mismatch, "the update builds on another revision",
-                  "ask for the whole configuration");
+      throw Error(ErrorKind::Mismatch, "the configuration update is based on another revision",
+                  "request the full configuration");
     }
     auto bytes = mesh::decompress(update.configuration, is_patch ? configuration_ : none);
     table = std::make_shared<const mesh::RouteTable>(update.revision, mesh::decodeConfiguration(bytes));
@@ -179,29 +181,29 @@
   return store.is_current && links_.linkTo(address).has_value();
 }
 
-/// A store that is not the source seldom says what it has; an old word of it says nothing. Once it is the
-/// source it sends heartbeats, and is left again if it proves to be behind.
-bool ControlClient::isBehind(const Store& store, TimePoint now) const {
-  return store.revision < revision_ && now < store.told_at + kSourceSilence;
+/// A store that is not the source rarely reports its revision, so an old report is ignored. Once the store is
+/// the source, it sends frequent heartbeats, and another source is selected if it is outdated.
+bool ControlClient::isOutdated(const Store& store, TimePoint now) const {
+  return store.revision < revision_ && now < store.last_heartbeat_at + kSourceTimeout;
 }
 
 void ControlClient::chooseSource(TimePoint now) {
-  const auto best = bestSource(now);
+  const auto best = findBestSource(now);
   if (best == source_) return;
-  if (!best) sourceless_since_ = now;
+  if (!best) source_lost_at_ = now;
   if (source_) {
     if (const auto link = links_.linkTo(*source_)) {
-      wire::NodeSubscribeT leave;
-      leave.wants_updates = false;
-      actions_.send(*link, leave, 0);
+      wire::NodeSubscribeT unsubscribe;
+      unsubscribe.wants_updates = false;
+      actions_.send(*link, unsubscribe, 0);
     }
   }
   if (!best) logEvent(kSourceLost, {{"store", settings::formatAddress(*source_)}});
   source_ = best;
   if (!source_) return;
-  awaits_whole_ = true;
-  // It has kSourceSilence from now on to say something: its last beat may be seconds old.
-  stores_[*source_].heard_at = now;
+  awaits_full_update_ = true;
+  // The timeout of the new source starts now, because its last heartbeat may be seconds old.
+  stores_[*source_].last_message_at = now;
   logEvent(kSourceChosen, {{"store", settings::formatAddress(*source_)}, {"revision", revision_}});
   subscribe(revision_);
 }
@@ -213,27 +215,27 @@
   actions_.send(*links_.linkTo(*source_), request, 0);
 }
 
-bool ControlClient::waitsForNear(TimePoint now) const {
-  if (revision_ == 0 || source_ || now >= sourceless_since_ + kNearStorePatience) return false;
+bool ControlClient::awaitsSameZoneStore(TimePoint now) const {
+  if (revision_ == 0 || source_ || now >= source_lost_at_ + kSameZoneGracePeriod) return false;
   return std::any_of(stores_.begin(), stores_.end(),
                      [this](const auto& item) { return item.second.zone == options_.zone; });
 }
 
-/// The store of the own zone if there is one, else one of the own region, else the one in use, else any.
-std::optional<Address> ControlClient::bestSource(TimePoint now) const {
-  const bool near_only = waitsForNear(now);
+/// Prefers a store of the own zone, then one of the own region. Among equals it prefers the current source.
+std::optional<Address> ControlClient::findBestSource(TimePoint now) const {
+  const bool same_zone_only = awaitsSameZoneStore(now);
   std::optional<Address> best;
   int best_rank = 0;
   for (const auto& [address, store] : stores_) {
-    if (!isUsable(address, store) || isBehind(store, now)) continue;
-    constexpr int kNear = 4;
-    constexpr int kSameRegion = 2;
+    if (!isUsable(address, store) || isOutdated(store, now)) continue;
+    constexpr int kSameZoneRank = 4;
+    constexpr int kSameRegionRank = 2;
     const auto distance = distanceOf(store);
-    const bool is_near = distance == mesh::ZoneDistance::SameZone;
-    if (near_only && !is_near) continue;
+    const bool is_same_zone = distance == mesh::ZoneDistance::SameZone;
+    if (same_zone_only && !is_same_zone) continue;
     const bool is_same_region = distance != mesh::ZoneDistance::OtherRegion;
-    const int rank =
-        1 + (is_near ? kNear : 0) + (is_same_region ? kSameRegion : 0) + (source_ == address ? 1 : 0);
+    const int rank = 1 + (is_same_zone ? kSameZoneRank : 0) + (is_same_region ? kSameRegionRank : 0) +
+                     (source_ == address ? 1 : 0);
     if (rank <= best_rank) continue;
     best = address;
     best_rank = rank;
@@ -241,19 +243,20 @@
   return best;
 }
 
-void ControlClient::closeSilent(TimePoint now) {
+void ControlClient::closeUnresponsive(TimePoint now) {
   for (auto& [address, store] : stores_) {
-    const bool is_silent = links_.linkTo(address) &&
-                           store.heard_at + (address == source_ ? kSourceSilence : kStoreSilence) < now;
-    if (!is_silent) continue;
+    const bool is_unresponsive =
+        links_.linkTo(address) &&
+        store.last_message_at + (address == source_ ? kSourceTimeout : kStoreTimeout) < now;
+    if (!is_unresponsive) continue;
     links_.reset(address);
     store.is_current = false;
   }
   chooseSource(now);
   for (auto store = stores_.begin(); store != stores_.end();) {
     const bool is_seed = std::find(seeds_.begin(), seeds_.end(), store->first) != seeds_.end();
-    const bool is_kept =
-        is_seed || links_.linkTo(store->first) || store->second.named_at + kUnnamedLease > now;
+    const bool is_kept = is_seed || links_.linkTo(store->first) ||
+                         store->second.last_listed_at + kUnlistedStoreRetention > now;
     if (is_kept) {
       ++store;
       continue;
@@ -267,7 +270,7 @@
   links_.onTimer(now);
   if (now < check_at_) return;
   check_at_ = now + kCheckInterval;
-  closeSilent(now);
+  closeUnresponsive(now);
 }
 
 TimePoint ControlClient::nextTimer() const { return std::min(links_.nextTimer(), check_at_); }
--- a/src/sidecar/control_client.h
+++ b/src/sidecar/control_client.h
@@ -11,28 +11,29 @@
 
 namespace cometstand::sidecar {
 
-/// What the rest of a sidecar hears from the stores.
+/// Receives the updates that stores send to this sidecar.
 class ControlListener {
  public:
   virtual ~ControlListener() = default;
-  /// A newer configuration is in force from now on.
+  /// Called when a newer configuration takes effect.
   virtual void onConfiguration(const mesh::RouteTablePointer& table, TimePoint now) = 0;
-  /// @param is_whole the records are all that the store knows.
+  /// @param is_whole true if the update contains all records of the store and not only changes.
   virtual void onEndpoints(const wire::EndpointUpdateT& update, bool is_whole, TimePoint now) = 0;
   virtual void onRollouts(const wire::RolloutUpdateT& update, TimePoint now) = 0;
   virtual void onQuarantine(const wire::QuarantineUpdateT& update) = 0;
   virtual void onEvacuations(const wire::EvacuationUpdateT& update, TimePoint now) = 0;
-  /// A store has this sidecar's report on the end of that instance.
+  /// Called when a store has acknowledged this sidecar's crash report for the instance.
   virtual void onCrashReportTaken(const std::string& instance) = 0;
-  /// A store's answer to a request for tokens.
+  /// Called with the response of a store to a request for quota tokens.
   virtual void onQuotaGrant(const runtime::Address& store, const wire::QuotaGrantT& grant, TimePoint now) = 0;
 };
 
-/// The links of a sidecar to all stores. It reports its own endpoint to each of them, and takes
-/// configurations and endpoint records from one, which it leaves once that one no longer hears a leader.
+/// Maintains the links of a sidecar to all stores. It reports the sidecar's own endpoint to each of them, and
+/// receives configurations and endpoint records from one of them, the source. It selects another source when
+/// the current one has lost contact with its leader.
 ///
-/// Invariant: the revision in force never falls. A sidecar keeps nothing on disk, so after a restart it has
-/// none until a store that hears its leader has sent one.
+/// Invariant: the revision in force never decreases. A sidecar stores nothing on disk, so after a restart it
+/// has no configuration until a store that is in contact with its leader has sent one.
 class ControlClient {
  public:
   /// @param listener must outlive the client.
@@ -47,55 +48,61 @@
   void onTimer(TimePoint now);
   TimePoint nextTimer() const;
 
-  /// These stores are tried from now on, beside those that are known already.
+  /// Sets the seed stores, to which links are kept in addition to the stores already known.
   void setSeeds(std::vector<runtime::Address> seeds, TimePoint now);
 
-  /// The record of this sidecar's endpoint from now on; sent to every store.
+  /// Sets the record of this sidecar's endpoint and sends it to every linked store.
   void report(const wire::EndpointRecordT& record);
 
-  /// Sends a report on a roll-out to the store, if it is linked.
+  /// Sends a roll-out report to the store, if it is linked.
   void send(const runtime::Address& store, wire::RolloutReportT report);
 
-  /// Sends a request for tokens to the wanted store, or, if that is none or not linked, to another one: the
-  /// source first, and `silent` last. @return the store that got it; none if no store is linked.
+  /// Sends a request for quota tokens to the preferred store. If there is none or it is not linked, the
+  /// request is sent to another store: to the source if possible, and to `unresponsive` only if no other is
+  /// linked.
+  /// @param unresponsive a store that did not respond to an earlier request.
+  /// @return the store to which the request was sent; none if no store is linked.
   std::optional<runtime::Address> askForQuota(const wire::QuotaRequestT& request,
-                                              const std::optional<runtime::Address>& wanted,
-                                              const std::optional<runtime::Address>& silent);
+                                              const std::optional<runtime::Address>& preferred,
+                                              const std::optional<runtime::Address>& unresponsive);
 
   /// Sends the message to every linked store.
   void broadcast(const runtime::MessagePointer& message);
 
   std::uint64_t revision() const { return revision_; }
-  /// @return true while a store that hears its leader is linked.
+  /// @return true while a store that is in contact with its leader is linked.
   bool isCurrent() const { return source_.has_value(); }
 
  private:
   struct Store {
     std::string zone;
-    TimePoint heard_at;
+    /// Time of the latest message from the store.
+    TimePoint last_message_at;
+    /// The store is in contact with its leader, according to its latest heartbeat.
     bool is_current = false;
+    /// The latest revision that the store has reported or sent.
     std::uint64_t revision = 0;
-    /// When a heartbeat told the revision.
-    TimePoint told_at;
-    /// Named by the newest beat of some store, or a seed.
-    TimePoint named_at;
+    /// Time of the latest heartbeat, which reports the revision.
+    TimePoint last_heartbeat_at;
+    /// Time at which the store was last listed in a heartbeat of any store or set as a seed.
+    TimePoint last_listed_at;
   };
 
-  void learnStores(const wire::StoreBeatT& beat, TimePoint now);
-  void onBeat(const runtime::Address& store, runtime::LinkId link, const wire::StoreBeatT& beat,
-              TimePoint now);
+  void updateStores(const wire::StoreBeatT& heartbeat, TimePoint now);
+  void onStoreHeartbeat(const runtime::Address& store, runtime::LinkId link,
+                        const wire::StoreBeatT& heartbeat, TimePoint now);
   void onUpdate(const wire::MeshUpdateT& update, TimePoint now);
-  void closeSilent(TimePoint now);
+  void closeUnresponsive(TimePoint now);
   void chooseSource(TimePoint now);
-  std::optional<runtime::Address> bestSource(TimePoint now) const;
+  std::optional<runtime::Address> findBestSource(TimePoint now) const;
   mesh::ZoneDistance distanceOf(const Store& store) const {
     return options_.zones.distance(options_.zone, store.zone);
   }
-  /// @return true while a store of the own zone may still come in place of a lost source.
-  bool waitsForNear(TimePoint now) const;
+  /// @return true while a store of the own zone may still reconnect and replace a lost source.
+  bool awaitsSameZoneStore(TimePoint now) const;
   void subscribe(std::uint64_t have_revision);
   bool isUsable(const runtime::Address& address, const Store& store) const;
-  bool isBehind(const Store& store, TimePoint now) const;
+  bool isOutdated(const Store& store, TimePoint now) const;
   void sendReport(runtime::LinkId link) const;
 
   const SidecarOptions& options_;
@@ -104,14 +111,14 @@
   PeerLinks links_;
   std::vector<runtime::Address> seeds_;
   std::map<runtime::Address, Store> stores_;
-  /// The store that sends configurations and endpoints.
+  /// The store from which configurations and endpoint records are received.
   std::optional<runtime::Address> source_;
-  /// Since when there is none.
-  TimePoint sourceless_since_;
-  /// The next endpoint records from the source are all that it knows.
-  bool awaits_whole_ = false;
+  /// The time at which the last source was lost.
+  TimePoint source_lost_at_;
+  /// The next endpoint update of the source contains all its records.
+  bool awaits_full_update_ = false;
   std::uint64_t revision_ = 0;
-  /// Bytes of the configuration in force.
+  /// Encoded configuration in force.
   std::vector<std::uint8_t> configuration_;
   std::shared_ptr<wire::EndpointRecordT> own_record_;
   TimePoint check_at_;
--- a/src/sidecar/peer_links.cpp
+++ b/src/sidecar/peer_links.cpp
@@ -5,8 +5,8 @@
 namespace cometstand::sidecar {
 namespace {
 
-constexpr Duration kReconnectMinimum = std::chrono::milliseconds(50);
-constexpr Duration kReconnectMaximum = std::chrono::milliseconds(800);
+constexpr Duration kMinReconnectBackoff = std::chrono::milliseconds(50);
+constexpr Duration kMaxReconnectBackoff = std::chrono::milliseconds(800);
 
 }  // namespace
 
@@ -15,8 +15,8 @@
 
 void PeerLinks::add(const Address& address, TimePoint now) {
   if (peers_.contains(address)) return;
-  peers_.emplace(address, Peer{std::nullopt, false, now, {kReconnectMinimum, kReconnectMaximum}, {}});
-  fresh_.push_back(address);
+  peers_.emplace(address, Peer{std::nullopt, false, now, {kMinReconnectBackoff, kMaxReconnectBackoff}, {}});
+  unconnected_.push_back(address);
 }
 
 void PeerLinks::remove(const Address& address) {
@@ -26,8 +26,8 @@
     actions_.close(*peer->second.link);
     addresses_.erase(*peer->second.link);
   }
-  due_.erase({peer->second.connect_at, address});
-  std::erase(fresh_, address);
+  reconnects_.erase({peer->second.connect_at, address});
+  std::erase(unconnected_, address);
   peers_.erase(peer);
 }
 
@@ -66,7 +66,7 @@
   peer.link.reset();
   peer.is_open = false;
   peer.connect_at = now + peer.backoff.next(random_);
-  due_.emplace(peer.connect_at, *address);
+  reconnects_.emplace(peer.connect_at, *address);
   return address;
 }
 
@@ -81,30 +81,30 @@
   addresses_[*peer.link] = address;
 }
 
-void PeerLinks::connectFresh(TimePoint now) {
-  if (now >= fresh_at_) {
-    fresh_at_ = now + kConnectPause;
-    fresh_made_ = 0;
+void PeerLinks::connectBatch(TimePoint now) {
+  if (now >= next_batch_at_) {
+    next_batch_at_ = now + kConnectBatchInterval;
+    batch_connects_ = 0;
   }
-  for (; fresh_made_ < kConnectsAtOnce && !fresh_.empty(); ++fresh_made_) {
-    const Address address = fresh_.front();
-    fresh_.pop_front();
+  for (; batch_connects_ < kConnectBatchSize && !unconnected_.empty(); ++batch_connects_) {
+    const Address address = unconnected_.front();
+    unconnected_.pop_front();
     connect(address, peers_.at(address));
   }
 }
 
 void PeerLinks::onTimer(TimePoint now) {
-  connectFresh(now);
-  while (!due_.empty() && due_.begin()->first <= now) {
-    const Address address = due_.begin()->second;
-    due_.erase(due_.begin());
+  connectBatch(now);
+  while (!reconnects_.empty() && reconnects_.begin()->first <= now) {
+    const Address address = reconnects_.begin()->second;
+    reconnects_.erase(reconnects_.begin());
     connect(address, peers_.at(address));
   }
 }
 
 TimePoint PeerLinks::nextTimer() const {
-  const TimePoint retry = due_.empty() ? TimePoint::max() : due_.begin()->first;
-  return fresh_.empty() ? retry : std::min(retry, fresh_at_);
+  const TimePoint retry = reconnects_.empty() ? TimePoint::max() : reconnects_.begin()->first;
+  return unconnected_.empty() ? retry : std::min(retry, next_batch_at_);
 }
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/peer_links.h
+++ b/src/sidecar/peer_links.h
@@ -13,44 +13,43 @@
 
 namespace cometstand::sidecar {
 
-/// One link to each of a set of addresses, opened again when it ends. Which addresses those are, the owner
-/// says.
+/// Maintains one link to each address of a set, which the owner determines, and reconnects links that close.
 ///
-/// The first connects are made a few at a time, in the order in which addresses were added, so that the first
-/// links are of use while the others still open: on a tenth of a core 128 connects at once, and as many from
-/// other machines, took 0.37 s in which nothing else was done.
+/// First connects are made in small batches, in the order in which the addresses were added, so that the
+/// first links can be used while the others are still being opened. With a tenth of a core, 128 concurrent
+/// connects and as many incoming ones took 0.37 s during which nothing else was processed.
 class PeerLinks {
  public:
   PeerLinks(runtime::ActionQueue& actions, RandomSource& random) : actions_(actions), random_(random) {}
 
-  /// Keeps a link to the address from now on.
+  /// Adds an address to which a link is maintained.
   void add(const runtime::Address& address, TimePoint now);
-  /// Closes the link to the address and forgets it.
+  /// Closes the link to the address and removes the address.
   void remove(const runtime::Address& address);
   bool contains(const runtime::Address& address) const { return peers_.contains(address); }
-  /// @return all addresses to which links are kept.
+  /// @return all addresses to which links are maintained.
   std::vector<runtime::Address> all() const;
 
-  /// @return true if the link was opened by this object and has not ended.
+  /// @return true if this object opened the link and the link is not closed.
   bool owns(runtime::LinkId link) const { return addresses_.contains(link); }
-  /// @return the address to which the link leads.
+  /// @return the address of the link's peer; none if the link is not owned by this object.
   std::optional<runtime::Address> onLinkOpened(runtime::LinkId link);
-  /// @return the address to which the link led.
+  /// @return the address of the closed link's peer; none if the link was not owned by this object.
   std::optional<runtime::Address> onLinkClosed(runtime::LinkId link, TimePoint now);
 
   std::optional<runtime::Address> addressOf(runtime::LinkId link) const;
   /// @return the open link to the address.
   std::optional<runtime::LinkId> linkTo(const runtime::Address& address) const;
 
-  /// Ends the link to the address; it is opened again after a pause.
+  /// Closes the link to the address; it is reconnected after a backoff.
   void reset(const runtime::Address& address);
 
   void onTimer(TimePoint now);
   TimePoint nextTimer() const;
 
-  /// First connects that are made at once, and the pause before the next: 200 a second.
-  static constexpr std::size_t kConnectsAtOnce = 8;
-  static constexpr Duration kConnectPause = std::chrono::milliseconds(40);
+  /// Number of first connects in a batch and the interval between batches: 200 connects per second.
+  static constexpr std::size_t kConnectBatchSize = 8;
+  static constexpr Duration kConnectBatchInterval = std::chrono::milliseconds(40);
 
  private:
   struct Peer {
@@ -62,20 +61,20 @@
   };
 
   void connect(const runtime::Address& address, Peer& peer);
-  void connectFresh(TimePoint now);
+  void connectBatch(TimePoint now);
 
   runtime::ActionQueue& actions_;
   RandomSource& random_;
   std::map<runtime::Address, Peer> peers_;
   std::map<runtime::LinkId, runtime::Address> addresses_;
-  /// The peers without a link, by the time of their next connect: there are hundreds of peers, and the next
-  /// timer is asked for after each message.
-  std::set<std::pair<TimePoint, runtime::Address>> due_;
-  /// Those that were never connected, in their order.
-  std::deque<runtime::Address> fresh_;
-  /// Their connects since the last pause, and when it ends.
-  std::size_t fresh_made_ = 0;
-  TimePoint fresh_at_;
+  /// Peers without a link by the time of their next connect. The set is ordered because there can be hundreds
+  /// of peers and nextTimer() is called after each message.
+  std::set<std::pair<TimePoint, runtime::Address>> reconnects_;
+  /// Peers without a first connect, in the order in which they were added.
+  std::deque<runtime::Address> unconnected_;
+  /// First connects in the current batch, and the start time of the next batch.
+  std::size_t batch_connects_ = 0;
+  TimePoint next_batch_at_;
 };
 
 }  // namespace cometstand::sidecar
--- a/tests/sidecar/body_intake_test.cpp
+++ b/tests/sidecar/body_intake_test.cpp
@@ -1,4 +1,4 @@
-// Large bodies that come as the receiver grants: bounds, refusals, and what urgent requests wait beside them.
+// Large request bodies that are received by credit: limits, rejections and the latency of urgent messages.
 #include "sidecar/body_intake.h"
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// The intake of one sidecar. Senders are played by the test: each has the link of its number.
+/// The intake of one sidecar. The test simulates the senders; the link of a sender has the sender's number.
 class IntakeFixture {
  public:
   IntakeFixture() : intake(credit, makeListener()) {}
@@ -29,7 +29,7 @@
     intake.announce(askerOf(sender), std::move(request), now);
   }
 
-  /// The sender sends what it was granted.
+  /// Sends the granted bytes of one sender.
   void sendGranted(std::uint64_t sender) {
     const std::uint32_t bytes = std::exchange(granted[sender], 0);
     intake.onPart(askerOf(sender), std::vector<std::uint8_t>(bytes, 'x'), now);
@@ -51,7 +51,7 @@
       whole[asker.request_id] = request;
     };
     listener.refuse = [this](const GateAsker& asker, const wire::ForwardRequestT& /*request*/,
-                             wire::NotRunReason reason) { refused[asker.request_id] = reason; };
+                             wire::NotRunReason reason) { rejected[asker.request_id] = reason; };
     return listener;
   }
 
@@ -64,15 +64,15 @@
   std::map<std::uint64_t, std::uint32_t> granted;
   std::deque<Grant> grants;
   std::map<std::uint64_t, std::shared_ptr<wire::ForwardRequestT>> whole;
-  std::map<std::uint64_t, wire::NotRunReason> refused;
+  std::map<std::uint64_t, wire::NotRunReason> rejected;
   ReceiveCredit credit;
   BodyIntake intake;
 };
 
-/// Plays a link of 800,000 bytes a second (6.4 Mbit/s) over which granted bytes come, the first granted
-/// first.
+/// Simulates a link of 800,000 bytes per second (6.4 Mbit/s) that delivers the bytes in the order of their
+/// grants.
 /// @return the longest time for which an urgent message would have waited behind bytes on the link.
-Duration playNarrowLink(IntakeFixture& fixture, Duration time) {
+Duration simulateNarrowLink(IntakeFixture& fixture, Duration time) {
   constexpr double kBytesPerSecond = 800'000;
   const TimePoint end = fixture.now + time;
   Duration longest{};
@@ -99,7 +99,7 @@
 
 }  // namespace
 
-TEST_CASE("a body comes whole, in the parts that were granted") {
+TEST_CASE("a body is received completely, in the parts that were granted") {
   IntakeFixture fixture;
   fixture.announce(1, 60'000);
   while (!fixture.whole.contains(1)) {
@@ -112,7 +112,7 @@
   CHECK(fixture.intake.size() == 0);
 }
 
-TEST_CASE("many bodies at once are granted a bounded number of bytes, the first one first") {
+TEST_CASE("concurrent bodies are granted a bounded number of bytes, in the order of their announcements") {
   IntakeFixture fixture;
   for (std::uint64_t sender = 1; sender <= 5; ++sender) fixture.announce(sender, 60'000);
   CHECK(fixture.allGranted() > 0);
@@ -121,28 +121,28 @@
   CHECK(fixture.granted[5] == 0);
 }
 
-TEST_CASE("an urgent message never waits long behind bodies on a narrow link") {
+TEST_CASE("the wait of an urgent message behind bodies on a narrow link is bounded") {
   IntakeFixture fixture;
   constexpr std::uint64_t kSenders = 20;
   for (std::uint64_t sender = 1; sender <= kSenders; ++sender) fixture.announce(sender, 60'000, 2'000);
-  const Duration longest = playNarrowLink(fixture, seconds(2));
+  const Duration longest = simulateNarrowLink(fixture, seconds(2));
   CHECK(fixture.whole.size() == kSenders);
-  // Sent as they are, the bodies would hold it up for 1.5 s.
+  // Without credit the bodies would delay the message by 1.5 s.
   CHECK(longest < milliseconds(60));
 }
 
-TEST_CASE("a body that could not begin to come within its patience is refused before any byte of it") {
+TEST_CASE("a body that cannot start within its queue time is rejected before any byte of it is sent") {
   IntakeFixture fixture;
   for (std::uint64_t sender = 1; sender <= 30; ++sender) fixture.announce(sender, 60'000, 400);
-  CHECK(fixture.refused.contains(30));
-  CHECK(fixture.refused.at(30) == wire::NotRunReason::Full);
-  CHECK_FALSE(fixture.refused.contains(1));
-  playNarrowLink(fixture, seconds(2));
-  CHECK(fixture.whole.size() + fixture.refused.size() == 30);
-  for (const auto& [sender, reason] : fixture.refused) CHECK_FALSE(fixture.whole.contains(sender));
+  CHECK(fixture.rejected.contains(30));
+  CHECK(fixture.rejected.at(30) == wire::NotRunReason::Full);
+  CHECK_FALSE(fixture.rejected.contains(1));
+  simulateNarrowLink(fixture, seconds(2));
+  CHECK(fixture.whole.size() + fixture.rejected.size() == 30);
+  for (const auto& [sender, reason] : fixture.rejected) CHECK_FALSE(fixture.whole.contains(sender));
 }
 
-TEST_CASE("a sender that falls silent does not hold up the others, and is refused at its deadline") {
+TEST_CASE("a stalled sender does not delay others, and its request is rejected at its deadline") {
   IntakeFixture fixture;
   fixture.announce(1, 1'000'000, 400, 1'000);
   fixture.announce(2, 30'000, 2'000);
@@ -156,33 +156,33 @@
   CHECK(fixture.whole.contains(2));
   fixture.now = TimePoint(seconds(101));
   fixture.intake.onTimer(fixture.now);
-  CHECK(fixture.refused.contains(1));
+  CHECK(fixture.rejected.contains(1));
   CHECK(fixture.intake.nextTimer() == TimePoint::max());
 }
 
-TEST_CASE("a body that is given up, or whose link ends, makes room and is not passed on") {
+TEST_CASE("a body that is cancelled or whose link closes releases its credit and is not forwarded") {
   IntakeFixture fixture;
   fixture.announce(1, 500'000, 5'000);
   fixture.announce(2, 30'000, 5'000);
-  SECTION("given up") { fixture.intake.cancel(IntakeFixture::askerOf(1), fixture.now); }
-  SECTION("link ended") { fixture.intake.cancelLink(runtime::LinkId{1}, fixture.now); }
+  SECTION("cancelled") { fixture.intake.cancel(IntakeFixture::askerOf(1), fixture.now); }
+  SECTION("link closed") { fixture.intake.cancelLink(runtime::LinkId{1}, fixture.now); }
   CHECK(fixture.granted[2] > 0);
   fixture.sendGranted(1);
   CHECK_FALSE(fixture.whole.contains(1));
   CHECK(fixture.intake.size() == 1);
 }
 
-TEST_CASE("when the target leaves, bodies that come go on and others are refused") {
+TEST_CASE("when the target leaves, started bodies continue and others are rejected") {
   IntakeFixture fixture;
   fixture.announce(1, 500'000, 5'000);
   fixture.announce(2, 30'000, 5'000);
   fixture.intake.refuseUnbegun(wire::NotRunReason::Leaving, fixture.now);
-  CHECK(fixture.refused.size() == 1);
-  CHECK(fixture.refused.at(2) == wire::NotRunReason::Leaving);
+  CHECK(fixture.rejected.size() == 1);
+  CHECK(fixture.rejected.at(2) == wire::NotRunReason::Leaving);
   CHECK(fixture.intake.size() == 1);
 }
 
-TEST_CASE("bytes beyond what was granted are not taken") {
+TEST_CASE("bytes beyond the granted credit are not accepted") {
   IntakeFixture fixture;
   fixture.announce(1, 60'000);
   const std::uint32_t granted = fixture.granted[1];
--- a/tests/sidecar/large_body_test.cpp
+++ b/tests/sidecar/large_body_test.cpp
@@ -1,15 +1,15 @@
-// Requests with large bodies between two sidecars: announced, granted, sent in parts, given up.
+// Requests with large bodies between two sidecars: announcement, credit, sending in parts, cancellation.
 #include "tests/sidecar/sidecar_fixture.h"
 
 namespace cometstand::sidecar::test {
 namespace {
 
-constexpr std::size_t kLargeBody = 30'000;
+constexpr std::size_t kLargeBodyBytes = 30'000;
 /// A link that another sidecar opened.
 constexpr runtime::LinkId kIncoming{runtime::kFirstIncomingLink};
 
 struct LargeBodyFixture : SidecarFixture {
-  CallId upload(std::size_t bytes = kLargeBody) {
+  CallId upload(std::size_t bytes = kLargeBodyBytes) {
     Call request;
     request.host = "shop.example";
     request.request.target = "/write/1";
@@ -22,7 +22,7 @@
     return id;
   }
 
-  /// @return the newest message of that kind, which must have been sent.
+  /// @return the latest sent message of the type, which must exist.
   const wire::EnvelopeT& last(wire::Body type) {
     const auto found = std::find_if(sent.rbegin(), sent.rend(),
                                     [type](const auto& item) { return item.message->body.type == type; });
@@ -42,7 +42,7 @@
   }
 
   template <typename Message>
-  void sayIncoming(Message message, std::uint64_t number) {
+  void receiveIncoming(Message message, std::uint64_t number) {
     core.onMessage(kIncoming, runtime::makeEnvelope(std::move(message), number), now);
     step();
   }
@@ -54,19 +54,20 @@
     request.deadline_ms = 2'000;
     request.patience_ms = 200;
     request.objective_ms = 500;
-    request.announced_bytes = kLargeBody;
-    sayIncoming(std::move(request), number);
+    request.announced_bytes = kLargeBodyBytes;
+    receiveIncoming(std::move(request), number);
   }
 };
 
 }  // namespace
 
-TEST_CASE_METHOD(LargeBodyFixture, "a large body is announced and sent as it is granted", "[sidecar]") {
+TEST_CASE_METHOD(LargeBodyFixture, "a large body is announced and sent as far as it is granted",
+                 "[sidecar]") {
   configure();
   addPeer(kPeer);
   upload();
   const auto& announced = last(wire::Body::ForwardRequest);
-  CHECK(announced.body.AsForwardRequest()->announced_bytes == kLargeBody);
+  CHECK(announced.body.AsForwardRequest()->announced_bytes == kLargeBodyBytes);
   CHECK(announced.body.AsForwardRequest()->body.empty());
   const auto number = announced.request_id;
   CHECK(count(wire::Body::BodyPart) == 0);
@@ -78,7 +79,7 @@
   CHECK(callers.answers.at(CallId{1}).outcome == CallOutcome::Answered);
 }
 
-TEST_CASE_METHOD(LargeBodyFixture, "a small body goes with its request", "[sidecar]") {
+TEST_CASE_METHOD(LargeBodyFixture, "a small body is sent with its request", "[sidecar]") {
   configure();
   addPeer(kPeer);
   upload(1'000);
@@ -86,33 +87,34 @@
 }
 
 TEST_CASE_METHOD(LargeBodyFixture,
-                 "an endpoint that is lost before it had the whole body has not run the request",
+                 "a request has not run if its endpoint disconnects before it received the whole body",
                  "[sidecar]") {
   configure();
   addPeer(kPeer);
   const auto id = upload();
   const auto number = last(wire::Body::ForwardRequest).request_id;
   const bool is_whole = GENERATE(false, true);
-  grant(number, is_whole ? kLargeBody : kLargeBody - 1);
+  grant(number, is_whole ? kLargeBodyBytes : kLargeBodyBytes - 1);
   core.onLinkClosed(links.at(kPeer), now);
   step();
   CHECK(callers.answers.at(id).outcome == (is_whole ? CallOutcome::Failed : CallOutcome::NotRun));
 }
 
-TEST_CASE_METHOD(LargeBodyFixture, "a request whose time is up before its body was sent has not run",
+TEST_CASE_METHOD(LargeBodyFixture, "a request that times out before its body was sent has not run",
                  "[sidecar]") {
   configure();
   addPeer(kPeer);
   const auto id = upload();
   const auto number = last(wire::Body::ForwardRequest).request_id;
   const bool is_whole = GENERATE(false, true);
-  grant(number, is_whole ? kLargeBody : kLargeBody - 1);
+  grant(number, is_whole ? kLargeBodyBytes : kLargeBodyBytes - 1);
   pass(std::chrono::seconds(2));
   CHECK(callers.answers.at(id).outcome == (is_whole ? CallOutcome::TimedOut : CallOutcome::NotRun));
   CHECK(count(wire::Body::ForwardCancel) == 1);
 }
 
-TEST_CASE_METHOD(LargeBodyFixture, "an announced request runs once its whole body came", "[sidecar]") {
+TEST_CASE_METHOD(LargeBodyFixture, "an announced request runs after its whole body was received",
+                 "[sidecar]") {
   configure();
   core.onHeartbeat(makeBeat("a", 1), now);
   announceIncoming(7);
@@ -128,12 +130,12 @@
     REQUIRE(granted > 0);
     wire::BodyPartT part;
     part.bytes.assign(granted, 'y');
-    sayIncoming(std::move(part), 7);
+    receiveIncoming(std::move(part), 7);
   }
-  CHECK(target.orders[0].request->body.size() == kLargeBody);
+  CHECK(target.orders[0].request->body.size() == kLargeBodyBytes);
 }
 
-TEST_CASE_METHOD(LargeBodyFixture, "an announced request is refused at once by a target that is not there",
+TEST_CASE_METHOD(LargeBodyFixture, "an announced request is rejected at once while the target is down",
                  "[sidecar]") {
   configure();
   announceIncoming(7);
--- a/tests/sidecar/passed_on_answer_test.cpp
+++ b/tests/sidecar/passed_on_answer_test.cpp
@@ -1,4 +1,4 @@
-// Answers that go to their callers in parts, before they are whole.
+// Responses that are streamed to their callers before they are complete.
 #include <numeric>
 
 #include "tests/sidecar/sidecar_fixture.h"
@@ -6,17 +6,17 @@
 namespace cometstand::sidecar::test {
 namespace {
 
-constexpr std::size_t kAnswer = 500'000;
-constexpr std::size_t kFirst = 8'192;
+constexpr std::size_t kResponseBytes = 500'000;
+constexpr std::size_t kFirstPartBytes = 8'192;
 
 std::vector<std::uint8_t> makeBody() {
-  std::vector<std::uint8_t> body(kAnswer);
+  std::vector<std::uint8_t> body(kResponseBytes);
   std::iota(body.begin(), body.end(), std::uint8_t{0});
   return body;
 }
 
-/// A caller that notes what it gets in parts.
-class PartCallers : public RecordingCallers {
+/// Records the responses that are streamed to callers.
+class StreamingCallers : public RecordingCallers {
  public:
   void beginAnswer(CallId /*id*/, const wire::ForwardReplyT& head) override {
     REQUIRE_FALSE(has_begun);
@@ -40,7 +40,7 @@
   static inline const runtime::Address kStore = SidecarFixture::kStore;
   static inline const runtime::Address kPeer = SidecarFixture::kPeer;
 
-  PassedOnFixture() : sidecar(makeOptions(), part_callers) {
+  PassedOnFixture() : sidecar(makeOptions(), streaming_callers) {
     sidecar.configure();
     sidecar.addPeer(kPeer);
     sidecar.addPeer(SidecarFixture::kOtherPeer);
@@ -48,12 +48,12 @@
 
   static SidecarOptions makeOptions() {
     auto options = SidecarFixture::makeOptions();
-    options.answer_credit = kFirst;
+    options.answer_credit = kFirstPartBytes;
     return options;
   }
 
-  /// A caller asks, and its answer begins to come.
-  CallId ask(bool takes_parts = true) {
+  /// Makes a call and receives the first bytes of its response.
+  CallId beginCall(bool takes_parts = true) {
     Call request;
     request.host = "shop.example";
     request.request.target = "/read/1";
@@ -73,14 +73,14 @@
     wire::ForwardReplyT head;
     head.outcome = wire::ForwardOutcome::Answered;
     head.body_follows = true;
-    sent_bytes = kFirst;
+    sent_bytes = kFirstPartBytes;
     const auto body = makeBody();
-    head.body.assign(body.begin(), body.begin() + static_cast<std::ptrdiff_t>(kFirst));
+    head.body.assign(body.begin(), body.begin() + static_cast<std::ptrdiff_t>(kFirstPartBytes));
     sidecar.say(peer, head, number);
     return id;
   }
 
-  /// The endpoint sends what it was granted. @return the bytes.
+  /// Sends the granted bytes from the endpoint. @return the number of bytes sent.
   std::size_t sendGranted() {
     std::size_t bytes = 0;
     std::erase_if(sidecar.sent, [&bytes](const auto& item) {
@@ -88,20 +88,20 @@
       if (grant != nullptr) bytes += grant->bytes;
       return grant != nullptr;
     });
-    bytes = std::min(bytes, kAnswer - sent_bytes);
+    bytes = std::min(bytes, kResponseBytes - sent_bytes);
     if (bytes == 0) return 0;
     const auto body = makeBody();
     const auto begin = body.begin() + static_cast<std::ptrdiff_t>(sent_bytes);
     wire::BodyPartT part;
     part.bytes.assign(begin, begin + static_cast<std::ptrdiff_t>(bytes));
     sent_bytes += bytes;
-    if (sent_bytes == kAnswer) part.end = wire::BodyEnd::Whole;
+    if (sent_bytes == kResponseBytes) part.end = wire::BodyEnd::Whole;
     sidecar.now += milliseconds(1);
     sidecar.say(peer, std::move(part), number);
     return bytes;
   }
 
-  /// The endpoint sends for as long as it is granted bytes, and the caller takes nothing.
+  /// Sends from the endpoint as long as it is granted bytes; the caller consumes nothing.
   void sendAll() {
     while (sendGranted() > 0) {
     }
@@ -117,7 +117,7 @@
                        [](const auto& item) { return item.message->body.AsForwardCancel() != nullptr; });
   }
 
-  PartCallers part_callers;
+  StreamingCallers streaming_callers;
   SidecarFixture sidecar;
   runtime::Address peer;
   std::uint64_t number = 0;
@@ -126,71 +126,74 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(PassedOnFixture, "a very large answer goes to its caller as the caller takes it",
+TEST_CASE_METHOD(PassedOnFixture, "a very large response is streamed as fast as its caller consumes it",
                  "[sidecar]") {
-  const auto id = ask();
+  const auto id = beginCall();
   sendAll();
-  CHECK(part_callers.has_begun);
-  // The caller takes nothing: no more is granted.
-  constexpr std::size_t kMostHeld = AnswerIntake::kMostCollected + 64 * 1024;
-  CHECK(sent_bytes < kMostHeld);
+  CHECK(streaming_callers.has_begun);
+  // The caller has consumed nothing, so no more credit is granted.
+  constexpr std::size_t kMaxHeldBytes = AnswerIntake::kStreamingThresholdBytes + 64 * 1024;
+  CHECK(sent_bytes < kMaxHeldBytes);
   std::size_t taken = 0;
-  while (part_callers.end == wire::BodyEnd::Open) {
-    const std::size_t bytes = part_callers.body.size() - taken;
+  while (streaming_callers.end == wire::BodyEnd::Open) {
+    const std::size_t bytes = streaming_callers.body.size() - taken;
     REQUIRE(bytes > 0);
-    CHECK(bytes < kMostHeld);
+    CHECK(bytes < kMaxHeldBytes);
     read(id, bytes);
     taken += bytes;
     sendAll();
   }
-  CHECK(part_callers.end == wire::BodyEnd::Whole);
-  CHECK(part_callers.body == makeBody());
-  CHECK(part_callers.answers.empty());
+  CHECK(streaming_callers.end == wire::BodyEnd::Whole);
+  CHECK(streaming_callers.body == makeBody());
+  CHECK(streaming_callers.answers.empty());
   CHECK(sidecar.core.callsInFlight() == 0);
 }
 
-TEST_CASE_METHOD(PassedOnFixture, "a caller that takes no parts gets a very large answer whole",
+TEST_CASE_METHOD(PassedOnFixture,
+                 "a caller without support for streaming gets a very large response in one piece",
                  "[sidecar]") {
-  const auto id = ask(false);
+  const auto id = beginCall(false);
   sendAll();
-  CHECK_FALSE(part_callers.has_begun);
-  CHECK(part_callers.answers.at(id).reply.body == makeBody());
+  CHECK_FALSE(streaming_callers.has_begun);
+  CHECK(streaming_callers.answers.at(id).reply.body == makeBody());
 }
 
-TEST_CASE_METHOD(PassedOnFixture, "an answer of which the caller has seen some is not asked for again",
+TEST_CASE_METHOD(PassedOnFixture,
+                 "a request is not retried after its caller has received a part of the response",
                  "[sidecar]") {
-  ask();
+  beginCall();
   sendAll();
-  REQUIRE(part_callers.has_begun);
-  const int way = GENERATE(0, 1, 2, 3);
-  if (way == 0) {
+  REQUIRE(streaming_callers.has_begun);
+  const int failure = GENERATE(0, 1, 2, 3);
+  if (failure == 0) {
     sidecar.core.onLinkClosed(sidecar.links.at(peer), sidecar.now);
-  } else if (way == 1) {
+  } else if (failure == 1) {
     wire::BodyPartT part;
     part.end = wire::BodyEnd::Broken;
     sidecar.say(peer, std::move(part), number);
-  } else if (way == 2) {
+  } else if (failure == 2) {
     sidecar.reply(peer, number, wire::ForwardOutcome::NotRun);
   } else {
     sidecar.pass(std::chrono::seconds(2));
     CHECK(hasCancelled());
   }
   sidecar.step();
-  CHECK(part_callers.end == wire::BodyEnd::Broken);
-  CHECK(part_callers.answers.empty());
+  CHECK(streaming_callers.end == wire::BodyEnd::Broken);
+  CHECK(streaming_callers.answers.empty());
   CHECK(sidecar.forwardsTo(kPeer).empty());
   CHECK(sidecar.forwardsTo(SidecarFixture::kOtherPeer).empty());
   CHECK(sidecar.core.callsInFlight() == 0);
 }
 
-TEST_CASE_METHOD(PassedOnFixture, "a caller who leaves in the middle of an answer gives it up", "[sidecar]") {
-  const auto id = ask();
+TEST_CASE_METHOD(PassedOnFixture, "a streamed response is cancelled when its caller disconnects",
+                 "[sidecar]") {
+  const auto id = beginCall();
   sendAll();
   sidecar.core.onCallerGone(id, sidecar.now);
   sidecar.step();
   CHECK(hasCancelled());
   CHECK(sidecar.core.answersArriving() == 0);
-  CHECK(part_callers.end == wire::BodyEnd::Open);
+  CHECK(streaming_callers.end == wire::BodyEnd::Open);
 }
 
 }  // namespace cometstand::sidecar::test
--- a/tests/sidecar/peer_links_test.cpp
+++ b/tests/sidecar/peer_links_test.cpp
@@ -8,12 +8,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Links to one peer; the test says what becomes of each connect.
+/// Links to one peer; the test determines the outcome of each connect.
 class PeerLinksFixture {
  public:
   PeerLinksFixture() { links.add(kPeer, now); }
 
-  /// @return the next connect, once the pause before it is over.
+  /// Advances to the next connect. @return its order.
   runtime::ConnectOrder nextConnect() {
     now = std::max(now, links.nextTimer());
     links.onTimer(now);
@@ -31,9 +31,9 @@
 
 }  // namespace
 
-// hanbit-sign, trouble-1, 32.8 s: sidecars that started 0.3 s before the stores' machines had power waited
-// for the kernel's second opening packet, a second later.
-TEST_CASE_METHOD(PeerLinksFixture, "a connect to a peer that says nothing is given up early and made again",
+// Sidecars that started 0.3 s before the machines of their stores lost the first SYN, and waited a second for
+// the kernel to retransmit it.
+TEST_CASE_METHOD(PeerLinksFixture, "a connect to an unresponsive peer times out early and is retried",
                  "[sidecar]") {
   Duration waited{};
   unsigned connects = 0;
@@ -47,8 +47,7 @@
   CHECK(connects >= 3);
 }
 
-TEST_CASE_METHOD(PeerLinksFixture,
-                 "connects get longer, up to the limit of all, and short again after a success",
+TEST_CASE_METHOD(PeerLinksFixture, "the connect timeout grows up to its limit and is reset after a success",
                  "[sidecar]") {
   auto order = nextConnect();
   const Duration first = order.time_limit;
@@ -64,8 +63,7 @@
   CHECK(nextConnect().time_limit == first);
 }
 
-TEST_CASE("first connects are made a few at a time, in their order, and others do not wait for them",
-          "[sidecar]") {
+TEST_CASE("first connects are made in ordered batches, which do not delay reconnects", "[sidecar]") {
   constexpr std::size_t kPeers = 100;
   runtime::ActionQueue actions;
   RandomSource random{1};
@@ -78,10 +76,10 @@
   links.remove(address_of(kPeers - 1));
   links.onTimer(now);
   const auto first = actions.take().connects;
-  REQUIRE(first.size() == PeerLinks::kConnectsAtOnce);
+  REQUIRE(first.size() == PeerLinks::kConnectBatchSize);
   CHECK(first.front().address == address_of(kPeers));
-  CHECK(first.back().address == address_of(kPeers - PeerLinks::kConnectsAtOnce));
-  // One that ends is connected again by its own pause.
+  CHECK(first.back().address == address_of(kPeers - PeerLinks::kConnectBatchSize));
+  // A closed link is reconnected after its own backoff, independently of the batches.
   links.onLinkClosed(first.front().link, now);
   std::size_t connects = first.size();
   const TimePoint begin = now;
@@ -91,7 +89,8 @@
     connects += actions.take().connects.size();
   }
   CHECK(connects == kPeers);
-  CHECK(now - begin <= kPeers / PeerLinks::kConnectsAtOnce * PeerLinks::kConnectPause + milliseconds(60));
+  CHECK(now - begin <=
+        kPeers / PeerLinks::kConnectBatchSize * PeerLinks::kConnectBatchInterval + milliseconds(60));
 }
 
 }  // namespace cometstand::sidecar::test
--- a/tests/sidecar/receive_credit_test.cpp
+++ b/tests/sidecar/receive_credit_test.cpp
@@ -11,18 +11,20 @@
 
 namespace {
 
-/// Bodies that come one after another over one link of kRate, from senders that hear of a grant half of the
-/// way later.
-class FarSenders {
+/// Simulates senders behind one link of kBytesPerSecond. The first bytes of a grant arrive after the
+/// round-trip time.
+class DistantSenders {
  public:
-  static constexpr double kRate = 1.2e6;
+  static constexpr double kBytesPerSecond = 1.2e6;
   static constexpr std::size_t kBodyBytes = 90'000;
   static constexpr std::size_t kBodiesAtOnce = 4;
 
-  /// @param way there and back; @param told what the credit is told of it.
-  FarSenders(Duration way, Duration told) : way_(way), told_(told) {}
+  /// @param round_trip round-trip time between the receiver and the senders.
+  /// @param extra_latency value that is passed to ReceiveCredit.
+  DistantSenders(Duration round_trip, Duration extra_latency)
+      : round_trip_(round_trip), extra_latency_(extra_latency) {}
 
-  /// @return bytes a second that came whole within the time.
+  /// @return the rate of completed bodies within the time, in bytes per second.
   double run(Duration time) {
     std::size_t whole = 0;
     for (const TimePoint end = now_ + time; now_ < end;) {
@@ -44,14 +46,14 @@
  private:
   struct Body {
     std::size_t unsent = kBodyBytes;
-    std::size_t missing = kBodyBytes;
+    std::size_t unreceived = kBodyBytes;
   };
 
   void begin() {
     const std::uint64_t number = next_body_++;
     bodies_[number] = Body();
     const auto grant = [this, number](std::uint32_t bytes) { send(number, bytes); };
-    flows_[number] = credit_.open(1, ReceiveCredit::kUnknownSize, grant, now_, told_);
+    flows_[number] = credit_.open(1, ReceiveCredit::kUnknownSize, grant, now_, extra_latency_);
     credit_.grantMore(now_);
   }
 
@@ -61,16 +63,16 @@
     if (length == 0) return;
     body.unsent -= length;
     const auto takes = std::chrono::duration_cast<Duration>(
-        std::chrono::duration<double>(static_cast<double>(length) / kRate));
-    link_free_at_ = std::max(link_free_at_, now_ + way_) + takes;
+        std::chrono::duration<double>(static_cast<double>(length) / kBytesPerSecond));
+    link_free_at_ = std::max(link_free_at_, now_ + round_trip_) + takes;
     arrivals_.emplace(link_free_at_, std::pair(number, length));
   }
 
   std::size_t receive(std::uint64_t number, std::size_t bytes) {
     auto& body = bodies_.at(number);
     REQUIRE(credit_.onReceived(flows_.at(number), bytes, now_));
-    body.missing -= bytes;
-    const bool is_whole = body.missing == 0;
+    body.unreceived -= bytes;
+    const bool is_whole = body.unreceived == 0;
     if (is_whole) {
       credit_.close(flows_.at(number));
       bodies_.erase(number);
@@ -79,8 +81,8 @@
     return is_whole ? kBodyBytes : 0;
   }
 
-  Duration way_;
-  Duration told_;
+  Duration round_trip_;
+  Duration extra_latency_;
   TimePoint now_{seconds(100)};
   TimePoint link_free_at_;
   std::uint64_t next_body_ = 1;
@@ -92,26 +94,26 @@
 
 }  // namespace
 
-TEST_CASE("bodies from near senders fill the link") {
-  FarSenders senders(milliseconds(1), Duration::zero());
-  CHECK(senders.run(seconds(20)) > 0.8 * FarSenders::kRate);
+TEST_CASE("bodies from senders with a short round trip fill the link") {
+  DistantSenders senders(milliseconds(1), Duration::zero());
+  CHECK(senders.run(seconds(20)) > 0.8 * DistantSenders::kBytesPerSecond);
 }
 
-// Measured here: 225 KB/s of 1,200 KB/s without the way, 666 KB/s with it. The size of an answer is not known
-// before its end, so that a way of each is still lost.
-TEST_CASE("a long way does not shrink the window until the link is idle most of the time") {
-  FarSenders without(milliseconds(60), Duration::zero());
-  FarSenders with(milliseconds(60), milliseconds(60));
+// This scenario gives 225 KB/s of 1,200 KB/s without the extra latency, and 666 KB/s with it. The size of a
+// response is not known before its end, so that each still loses one round trip.
+TEST_CASE("a long round trip does not reduce the window so far that the link is mostly idle") {
+  DistantSenders without(milliseconds(60), Duration::zero());
+  DistantSenders with(milliseconds(60), milliseconds(60));
   const double before = without.run(seconds(20));
   const double after = with.run(seconds(20));
-  INFO("without the way " << before << ", with it " << after);
-  CHECK(before < 0.3 * FarSenders::kRate);
-  CHECK(after > 0.45 * FarSenders::kRate);
+  INFO("without extra latency " << before << " bytes/s, with it " << after);
+  CHECK(before < 0.3 * DistantSenders::kBytesPerSecond);
+  CHECK(after > 0.45 * DistantSenders::kBytesPerSecond);
 }
 
-TEST_CASE("an expedited body is granted beside the window and its reader, up to a bound",
+TEST_CASE("an expedited body is granted irrespective of the window and its reader, up to a bound",
           "[receive_credit]") {
-  constexpr std::size_t kMost = 1024 * 1024;
+  constexpr std::size_t kMaxExpeditedBytes = 1024 * 1024;
   ReceiveCredit credit;
   const TimePoint now{seconds(100)};
   std::map<std::uint64_t, std::size_t> granted;
@@ -130,13 +132,13 @@
   CHECK(granted[2] == 0);
   credit.expedite(expedited);
   credit.grantMore(now);
-  CHECK(granted[2] == kMost);
-  // The others keep their window.
+  CHECK(granted[2] == kMaxExpeditedBytes);
+  // Other bodies keep their window.
   CHECK(credit.onReceived(ordinary, window, now + milliseconds(10)));
   credit.grantMore(now + milliseconds(10));
   CHECK(granted[1] > window);
   CHECK(credit.onReceived(expedited, 100'000, now + milliseconds(20)));
   credit.grantMore(now + milliseconds(20));
-  CHECK(granted[2] >= kMost + 100'000);
-  CHECK(granted[2] < kMost + 200'000);
+  CHECK(granted[2] >= kMaxExpeditedBytes + 100'000);
+  CHECK(granted[2] < kMaxExpeditedBytes + 200'000);
 }
