--- a/src/sidecar/answer_transfers.cpp
+++ b/src/sidecar/answer_transfers.cpp
@@ -21,7 +21,8 @@
 constexpr std::size_t kMaxUnconfirmedBytes = 128 * 1024;
 /// Limit of the unconfirmed bytes of one response, so that a failed requester blocks no more than these.
 constexpr std::size_t kMaxUnconfirmedBytesPerTransfer = 48 * 1024;
-/// Size of a part of a response with a due time. Other messages wait behind it: 13 ms on a link of 10 Mbit/s.
+/// Maximum size of a part of a response with a due time. Other messages wait behind it: 13 ms on a link of
+/// 10 Mbit/s.
 constexpr std::size_t kMaxDuePartBytes = 16 * 1024;
 
 }  // namespace
--- a/src/sidecar/answer_transfers.h
+++ b/src/sidecar/answer_transfers.h
@@ -50,7 +50,9 @@
   /// @param answer_bytes expected size of the response to that request.
   /// @param credit initial credit of its requester.
   bool isFull(std::size_t answer_bytes, unsigned credit, TimePoint now) const;
-  /// @return the expected time until isFull() becomes false; zero until a send rate is known.
+  /// Call it only if isFull() returned true.
+  /// @return the expected time until the link has sent enough for a further response; zero until a send rate
+  /// is known.
   Duration timeUntilRoom(std::size_t answer_bytes, TimePoint now) const;
 
   /// Limit of the buffered responses at which admission stops: about seven responses of 540 KB, the largest
