--- a/src/consensus/consensus.cpp
+++ b/src/consensus/consensus.cpp
@@ -16,11 +16,11 @@
 
 constexpr std::uint64_t kBootstrapIncarnation = 0;
 constexpr Term kBootstrapTerm = 1;
-/// The first pre-votes of a replica that has just started come after the shortest election timeout divided by
-/// a number between these: 60 to 150 ms by default, which leaves the others' links time to open and still
-/// differs enough between replicas that one of them is first.
-constexpr Duration::rep kStartupShareShortest = 5;
-constexpr Duration::rep kStartupShareLongest = 2;
+/// A replica that has just started waits for a random time between election_timeout_min divided by each of
+/// these divisors before it requests pre-votes: 60 to 150 ms by default. This leaves time for the connections
+/// of the other replicas to open, and the range is wide enough that one replica usually times out first.
+constexpr Duration::rep kDivisorOfMinStartupDelay = 5;
+constexpr Duration::rep kDivisorOfMaxStartupDelay = 2;
 
 const char* roleName(Role role) {
   switch (role) {
@@ -60,7 +60,7 @@
     throw Error(
         ErrorKind::Mismatch,
         fmt::format("the data folder belongs to replica {}, not {}", state.hard_state->replica_id, self_.id),
-        "name the folder of this replica, or an empty one and an id that was never used");
+        "configure the data folder of this replica, or an empty folder and an id that was never used");
   }
   term_ = state.hard_state->term;
   voted_for_ = state.hard_state->voted_for;
@@ -80,11 +80,11 @@
   }
   checkMembership(membership);
   if (!isVoter(membership, self_.id)) {
-    throw Error(ErrorKind::Invalid, fmt::format("replica {} is not one of the first voters", self_.id),
+    throw Error(ErrorKind::Invalid, fmt::format("replica {} is not one of the initial voters", self_.id),
                 "start it without bootstrap and add it as a learner");
   }
-  wire::MembershipT first = membership;
-  for (auto* replicas : {&first.voters, &first.learners}) {
+  wire::MembershipT initial = membership;
+  for (auto* replicas : {&initial.voters, &initial.learners}) {
     for (auto& replica : *replicas) {
       replica = std::make_shared<wire::ReplicaT>(*replica);
       replica->incarnation = kBootstrapIncarnation;
@@ -92,14 +92,14 @@
   }
   incarnation_ = kBootstrapIncarnation;
   term_ = kBootstrapTerm;
-  // The same first entry on every first voter, so that the logs match.
+  // Every initial voter stores an identical first entry, so that the logs match.
   wire::LogEntryT entry;
   entry.term = kBootstrapTerm;
   entry.index = 1;
   entry.kind = wire::EntryKind::Membership;
-  entry.data = encodeMembership(first);
+  entry.data = encodeMembership(initial);
   log_.append(std::make_shared<const wire::LogEntryT>(std::move(entry)));
-  // Last: a folder without hard state counts as empty, so that a bootstrap cut short can be repeated.
+  // Saved last: a folder without hard state is treated as empty, so an interrupted bootstrap can be repeated.
   saveHardState();
   setRole(Role::Follower, 0);
   resetElectionDeadline();
@@ -132,14 +132,16 @@
   if (const auto* append = message.body.AsAppendRequest()) return handleAppendRequest(message, *append);
   if (const auto* snapshot = message.body.AsSnapshotRequest())
     return handleSnapshotRequest(message, *snapshot);
-  // A replica that has not joined yet knows nothing that it could answer with.
+  // A replica that has not joined a cluster has no term, vote or log to reply with.
   if (role_ == Role::Joining) return;
   if (const auto* vote = message.body.AsVoteRequest()) {
     return vote->pre_vote ? handlePreVoteRequest(message, *vote) : handleVoteRequest(message, *vote);
   }
   if (const auto* vote = message.body.AsVoteReply()) return handleVoteReply(message, *vote);
-  if (const auto* answer = message.body.AsAppendReply()) return handleAppendReply(message, *answer);
-  if (const auto* answer = message.body.AsSnapshotReply()) return handleSnapshotReply(message, *answer);
+  if (const auto* append_reply = message.body.AsAppendReply())
+    return handleAppendReply(message, *append_reply);
+  if (const auto* snapshot_reply = message.body.AsSnapshotReply())
+    return handleSnapshotReply(message, *snapshot_reply);
   if (const auto* request = message.body.AsTimeoutNow()) return handleTimeoutNow(*request);
   logEvent(kMalformedMessage, {{"replica", self_.id}, {"peer", message.from}});
 }
@@ -150,7 +152,7 @@
   synced_write_ = std::max(synced_write_, write);
   log_.onWritten(write);
   if (role_ == Role::Candidate) countVotes();
-  if (role_ == Role::Leader) updateLeader();
+  if (role_ == Role::Leader) updateLeaderState();
 }
 
 void Consensus::onFileFailed(runtime::WriteId /*write*/, const std::string& reason, TimePoint /*now*/) {
@@ -167,7 +169,7 @@
   if (role_ != Role::Leader) return startPreVote();
   if (leader_state_->transfer && now_ >= leader_state_->transfer->deadline) leader_state_->transfer.reset();
   if (now_ >= leader_state_->next_heartbeat) beginRound();
-  updateLeader();
+  updateLeaderState();
 }
 
 TimePoint Consensus::nextTimer() const {
@@ -190,7 +192,7 @@
 }
 
 void Consensus::adoptTerm(Term term) {
-  checkInvariant(term > term_, "the term only rises");
+  checkInvariant(term > term_, "the term never decreases");
   term_ = term;
   voted_for_ = 0;
   outbox_.dropAcknowledgements();
@@ -214,21 +216,21 @@
   election_deadline_ = now_ + random_.uniform(options_.election_timeout_min, options_.election_timeout_max);
 }
 
-/// Until a replica heard a leader since its start, it asks for pre-votes sooner: after all replicas ended
-/// there is no leader to wait for, and if there is one, those who hear it refuse. The election itself, which
-/// raises the term, keeps the usual pace.
+/// A replica that has had no contact with a leader since its start uses a shorter pre-vote timeout. After a
+/// restart of all replicas there is no leader to wait for; if there is a leader, the replicas in contact with
+/// it reject the pre-vote. The timeout of the election itself, which increments the term, is not shortened.
 void Consensus::resetPreVoteDeadline() {
   if (last_leader_contact_) {
     resetElectionDeadline();
     return;
   }
-  election_deadline_ = now_ + random_.uniform(options_.election_timeout_min / kStartupShareShortest,
-                                              options_.election_timeout_min / kStartupShareLongest);
+  election_deadline_ = now_ + random_.uniform(options_.election_timeout_min / kDivisorOfMinStartupDelay,
+                                              options_.election_timeout_min / kDivisorOfMaxStartupDelay);
 }
 
 void Consensus::advanceCommit(LogIndex index) {
   if (index <= commit_index_) return;
-  checkInvariant(index <= log_.lastIndex(), "only entries in the log are committed");
+  checkInvariant(index <= log_.lastIndex(), "the commit index does not exceed the last log index");
   const bool changes_membership = log_.membershipIndex() > commit_index_ && log_.membershipIndex() <= index;
   commit_index_ = index;
   if (changes_membership) onMembershipCommitted();
@@ -241,24 +243,24 @@
 Output Consensus::takeOutput() {
   if (role_ == Role::Leader) {
     resolveReads();
-    const bool wants_round =
+    const bool needs_round =
         !leader_state_->reads.empty() && leader_state_->reads.back().round > leader_state_->rounds.current();
-    if (wants_round && leader_state_->quorum_round == leader_state_->rounds.current()) {
+    if (needs_round && leader_state_->quorum_round == leader_state_->rounds.current()) {
       beginRound();
-      updateLeader();
+      updateLeaderState();
     }
   }
   if (role_ == Role::Leader) replicateToAll();
   deliverCommitted();
   output_.writes = storage_.takeWrites();
   outbox_.release(synced_write_, output_.messages);
-  if (reported_ != leadership()) {
-    reported_ = leadership();
-    output_.leadership = reported_;
+  if (reported_leadership_ != leadership()) {
+    reported_leadership_ = leadership();
+    output_.leadership = reported_leadership_;
     logEvent(kRoleChanged, {{"replica", self_.id},
-                            {"role", roleName(reported_.role)},
-                            {"term", reported_.term},
-                            {"leader", reported_.leader}});
+                            {"role", roleName(reported_leadership_.role)},
+                            {"term", reported_leadership_.term},
+                            {"leader", reported_leadership_.leader}});
   }
   return std::exchange(output_, {});
 }
@@ -271,17 +273,20 @@
 
 void Consensus::checkInvariants() const {
   log_.checkInvariants();
-  checkInvariant(log_.lastTerm() <= term_, "no entry is newer than the term");
+  checkInvariant(log_.lastTerm() <= term_, "no log entry has a term above the current term");
   checkInvariant(commit_index_ <= log_.lastIndex(), "the log reaches the commit index");
-  checkInvariant(log_.snapshotIndex() <= commit_index_, "snapshots hold committed entries only");
-  checkInvariant(delivered_index_ <= commit_index_, "only committed entries are given out");
-  checkInvariant(leader_state_.has_value() == (role_ == Role::Leader), "only a leader has a leader's state");
+  checkInvariant(log_.snapshotIndex() <= commit_index_, "snapshots cover only committed entries");
+  checkInvariant(delivered_index_ <= commit_index_, "only committed entries are delivered");
+  checkInvariant(leader_state_.has_value() == (role_ == Role::Leader),
+                 "leader state exists exactly while the replica is the leader");
   if (role_ != Role::Leader) return;
   checkInvariant(voted_for_ == self_.id, "a leader voted for itself");
   for (const auto& [id, progress] : leader_state_->followers) {
-    checkInvariant(progress.match <= log_.lastIndex(), "no follower matches past the leader's log");
-    checkInvariant(progress.next >= 1, "indexes begin at 1");
-    checkInvariant(findReplica(log_.membership(), id) != nullptr, "only members are followed");
+    checkInvariant(progress.match <= log_.lastIndex(),
+                   "no match index exceeds the last index of the leader's log");
+    checkInvariant(progress.next >= 1, "the next index is at least 1");
+    checkInvariant(findReplica(log_.membership(), id) != nullptr,
+                   "replication progress exists only for members");
   }
 }
 
--- a/src/consensus/consensus.h
+++ b/src/consensus/consensus.h
@@ -20,70 +20,78 @@
 
 namespace cometstand::consensus {
 
-/// One replica's part in the Raft protocol (Ongaro and Ousterhout, "In Search of an Understandable Consensus
-/// Algorithm (Extended Version)"; Ongaro, "Consensus: Bridging Theory and Practice", called the
-/// dissertation). It owns the log, the vote and the snapshot, on disk through LogStorage, and knows nothing
-/// of what the entries mean. A plain state machine: it is handed messages, file completions, timers and the
-/// time, and gives back an Output. Not thread-safe: one event after another drives it. Every event is
-/// followed by takeOutput().
+/// One replica of the Raft protocol. Comments refer to "the paper" (Ongaro and Ousterhout, "In Search of an
+/// Understandable Consensus Algorithm (Extended Version)") and "the dissertation" (Ongaro, "Consensus:
+/// Bridging Theory and Practice"). Owns the log, the vote and the snapshot, persists them through LogStorage,
+/// and does not interpret log entries. Performs no I/O and reads no clock: callers pass in messages, file
+/// completions, timer expirations and the current time, and call takeOutput() after every event. Not
+/// thread-safe; events must be passed in one at a time.
 class Consensus {
  public:
-  /// @param self this replica; its id is never reused, also not after its disk was lost.
+  /// @param self this replica; its id must never be reused, not even after the loss of its disk.
   /// @throw Error(Invalid) if an option is out of range or the id is 0.
   Consensus(const ConsensusOptions& options, wire::ReplicaT self, RandomSource random);
   Consensus(const Consensus&) = delete;
   Consensus& operator=(const Consensus&) = delete;
 
-  /// Recovers from the data folder. Called once, first. An empty folder leaves the role at Joining.
+  /// Recovers from the data folder. Must be called exactly once, before any other method. With an empty
+  /// folder the role remains Joining.
   /// @throw Error(Corrupt) if stored data fails its checks; Error(Mismatch) if the folder belongs to another
-  /// replica. Nothing is changed on disk in either case.
+  /// replica. The files on disk are unchanged in both cases.
   void recover(const runtime::FileReader& files, TimePoint now);
 
-  /// First start of a new cluster: called on each first voter, with the same membership, after recover().
-  /// @throw Error(Conflict) if the folder is not empty; Error(Invalid) if self is not one of the voters.
+  /// Bootstraps a new cluster. Must be called on every initial voter with the same membership, after
+  /// recover().
+  /// @throw Error(Conflict) if the folder is not empty; Error(Invalid) if this replica is not a voter in the
+  /// membership.
   void bootstrap(const wire::MembershipT& membership, TimePoint now);
 
   void onMessage(const wire::ConsensusMessageT& message, TimePoint now);
   void onFileWritten(runtime::WriteId write, TimePoint now);
-  /// The disk failed: the replica steps down and takes no part any more.
+  /// Handles a failed file operation: the replica steps down and stops participating until it is restarted.
   void onFileFailed(runtime::WriteId write, const std::string& reason, TimePoint now);
   void onTimer(TimePoint now);
-  /// @return when onTimer() is wanted next; TimePoint::max() for never.
+  /// @return the time of the next onTimer() call; TimePoint::max() if no timer is pending.
   TimePoint nextTimer() const;
 
-  /// Appends a command to the log, if this replica is the leader and no transfer is running.
-  /// @return its index; whether it is committed is known once `committed` gives that index: with this term it
-  /// is, with another term it never will be.
+  /// Appends a command to the log if this replica is the leader and no leadership transfer is in progress.
+  /// @return the index of the entry, or nothing if the command was refused. Once Output::committed contains
+  /// an entry with this index, the command is committed if the terms are equal; otherwise the entry was
+  /// replaced and will never be committed.
   std::optional<LogIndex> propose(std::vector<std::uint8_t> command, TimePoint now);
 
-  /// Asks whether this replica still is the leader, by a quorum round that begins after this call (section 8
-  /// of the paper; read index, section 6.4 of the dissertation). Answered by Output::reads, at once with
-  /// `confirmed` false if this replica is not the leader.
+  /// Requests a read index (section 8 of the paper; section 6.4 of the dissertation): verifies leadership by
+  /// a heartbeat round that begins after this call and is acknowledged by a quorum. The result is returned in
+  /// Output::reads; if this replica is not the leader, it is available immediately with `confirmed` false.
   void requestRead(ReadTicket ticket, TimePoint now);
 
-  /// Hands leadership to another voter (section 3.10 of the dissertation). Proposals are refused until it
-  /// took over or an election timeout passed.
-  /// @throw Error(Unavailable) if this replica is not the leader; Error(NotFound) if the target is no voter.
+  /// Transfers leadership to another voter (section 3.10 of the dissertation). Proposals are refused until
+  /// the target becomes leader or an election timeout elapses.
+  /// @throw Error(Unavailable) if this replica is not the leader; Error(NotFound) if the target is not a
+  /// voter.
   void transferLeadership(ReplicaId target, TimePoint now);
-  /// Hands leadership to the voter that was heard last, of several to the one with the longest log.
+  /// Transfers leadership to the voter that acknowledged the newest heartbeat round; among several such
+  /// voters, to the one with the highest match index.
   /// @return false if this replica is not the leader or there is no other voter.
   bool transferLeadershipToAny(TimePoint now);
 
-  /// Changes the membership by one replica (chapter 4 of the dissertation); one change at a time.
-  /// @return the index of the membership entry; the change holds once that index is committed. ReplaceVoter
-  /// takes two entries: the second one, which removes the replaced voter, is appended by whoever leads once
-  /// the first is committed. The replacement is complete once membership() no longer names that voter and its
-  /// index is committed.
-  /// @throw Error(Unavailable) if this replica is not the leader or has not committed in its term yet;
-  /// Error(Conflict) if a change is running or the learner has not caught up; Error(NotFound),
-  /// Error(Invalid).
+  /// Changes the membership by one replica (chapter 4 of the dissertation). Only one change may be in
+  /// progress at a time. ReplaceVoter takes two membership entries: after the first one, which promotes the
+  /// learner, is committed, the leader of that time appends the second one, which removes the replaced voter.
+  /// The replacement is complete once membership() no longer contains the replaced voter and the second entry
+  /// is committed.
+  /// @return the index of the membership entry; the change is complete once that index is committed.
+  /// @throw Error(Unavailable) if this replica is not the leader or has not committed an entry in its term
+  /// yet; Error(Conflict) if a change is in progress or the learner has not caught up; Error(NotFound) or
+  /// Error(Invalid) if the change does not apply to the current membership.
   LogIndex changeMembership(const MembershipChange& change, TimePoint now);
 
-  /// Stores a snapshot of the state machine and drops the log before it.
-  /// @param applied_index the last entry in the state; not past what was given as committed.
-  /// @throw Error(Invalid) if the state is too large or the index is wrong.
+  /// Stores a snapshot of the state machine and discards the log entries that it covers.
+  /// @param applied_index index of the last entry applied to the state; must already have been returned in
+  /// Output::committed.
+  /// @throw Error(Invalid) if the state is too large or the index is out of range.
   void compact(LogIndex applied_index, std::vector<std::uint8_t> state);
-  /// @return true once the log since the last snapshot is long enough that compact() should be called.
+  /// @return true if the log has grown enough since the last snapshot that compact() should be called.
   bool snapshotDue() const;
 
   Output takeOutput();
@@ -94,15 +102,17 @@
   LogIndex lastIndex() const;
   /// The latest membership in the log, committed or not (section 4.1 of the dissertation).
   wire::MembershipT membership() const;
-  /// Replication state of the other replicas; empty unless leader.
+  /// Replication state of the other replicas; empty if this replica is not the leader.
   std::vector<FollowerStatus> followers() const;
 
-  /// @throw std::logic_error if an invariant of this replica's state does not hold. For tests and simulation.
+  /// For tests and simulation.
+  /// @throw std::logic_error if an invariant of this replica's state does not hold.
   void checkInvariants() const;
 
  private:
-  // consensus.cpp: events in general
-  /// Takes the time over; a leader that lost its quorum, for example while it was frozen, steps down first.
+  // consensus.cpp: event handling and state common to all roles.
+  /// Updates the current time. A leader without recent contact to a quorum, for example because the process
+  /// was suspended, steps down before it handles the event.
   void beginEvent(TimePoint now);
   bool isForThisReplica(const wire::ConsensusMessageT& message);
   void dispatch(const wire::ConsensusMessageT& message);
@@ -118,8 +128,8 @@
   template <typename Body>
   void reply(const wire::ConsensusMessageT& request, Body body, runtime::WriteId after);
 
-  // consensus_election.cpp: section 5.2 and 5.4 of the paper, 9.6 of the dissertation
-  bool hearsLeader() const;
+  // consensus_election.cpp: elections (sections 5.2 and 5.4 of the paper, section 9.6 of the dissertation).
+  bool hasRecentLeaderContact() const;
   void startPreVote();
   void startElection(bool is_transfer);
   void requestVotes(const wire::VoteRequestT& request, runtime::WriteId after);
@@ -129,14 +139,14 @@
   void handleVoteReply(const wire::ConsensusMessageT& message, const wire::VoteReplyT& vote);
   void handleTimeoutNow(const wire::TimeoutNowT& request);
 
-  // consensus_follower.cpp: the receiver's side of section 5.3 and 7 of the paper
+  // consensus_follower.cpp: the receiver of append and snapshot requests (sections 5.3 and 7 of the paper).
   bool followLeader(Term term, ReplicaId leader);
   void join();
   void handleAppendRequest(const wire::ConsensusMessageT& message, const wire::AppendRequestT& request);
   void handleSnapshotRequest(const wire::ConsensusMessageT& message, const wire::SnapshotRequestT& request);
   void storeEntries(const wire::AppendRequestT& request);
 
-  // consensus_leader.cpp: the sender's side, rounds and reads
+  // consensus_leader.cpp: replication by the leader, heartbeat rounds and reads.
   void becomeLeader();
   void failReads();
   LogIndex appendAsLeader(wire::EntryKind kind, std::vector<std::uint8_t> data);
@@ -146,11 +156,13 @@
   void sendAppend(ReplicaId id, FollowerProgress& progress, bool with_entries);
   void sendSnapshot(ReplicaId id, FollowerProgress& progress);
   bool isExpectedSender(const wire::ConsensusMessageT& message) const;
-  /// @return the sender's progress, its round noted; nullptr if the answer does not count.
+  /// Records the heartbeat round that the reply acknowledges.
+  /// @return the progress of the sender; nullptr if the reply must be ignored.
   FollowerProgress* acceptReply(const wire::ConsensusMessageT& message, Term term, std::uint64_t round);
-  void handleAppendReply(const wire::ConsensusMessageT& message, const wire::AppendReplyT& answer);
-  void handleSnapshotReply(const wire::ConsensusMessageT& message, const wire::SnapshotReplyT& answer);
-  void updateLeader();
+  void handleAppendReply(const wire::ConsensusMessageT& message, const wire::AppendReplyT& append_reply);
+  void handleSnapshotReply(const wire::ConsensusMessageT& message,
+                           const wire::SnapshotReplyT& snapshot_reply);
+  void updateLeaderState();
   void commitByQuorum();
   void confirmRounds();
   void resolveReads();
@@ -158,13 +170,15 @@
   template <typename Value, typename OwnValue, typename FollowerValue>
   Value quorumOf(OwnValue own, FollowerValue of_follower) const;
 
-  // consensus_membership.cpp: chapter 4 and section 3.10 of the dissertation
+  // consensus_membership.cpp: membership changes and leadership transfer (chapter 4 and section 3.10 of the
+  // dissertation).
   void requireReadyForChange() const;
   LogIndex appendMembership(const wire::MembershipT& membership);
   void updateFollowers();
   bool isCaughtUp(const FollowerProgress& progress) const;
   void onMembershipCommitted();
-  /// Second step of ReplaceVoter, by whichever leader sees the first one committed.
+  /// Second step of ReplaceVoter: removes the replaced voter. Performed by the leader at the time when the
+  /// promotion is committed, which may be a later one than the leader that started the replacement.
   void finishReplacement();
   void continueTransfer();
 
@@ -177,24 +191,25 @@
   Output output_;
   TimePoint now_;
 
-  // On disk: the hard state (figure 2 of the paper, "persistent state").
+  // Hard state, persisted on disk (figure 2 of the paper, "Persistent state").
   Term term_ = 0;
   ReplicaId voted_for_ = 0;
   std::uint64_t incarnation_ = 0;
-  /// The operation that stores the newest hard state.
+  /// The file operation that stores the current hard state.
   runtime::WriteId hard_state_write_{};
-  /// The newest operation that is synced.
+  /// The newest file operation that is synced.
   runtime::WriteId synced_write_{};
 
   Role role_ = Role::Joining;
   ReplicaId leader_ = 0;
-  Leadership reported_;
+  /// The values last returned in Output::leadership.
+  Leadership reported_leadership_;
   LogIndex commit_index_ = 0;
-  /// Last index given out in Output::committed or in a snapshot.
+  /// Last index returned in Output::committed or covered by an installed snapshot.
   LogIndex delivered_index_ = 0;
   TimePoint election_deadline_;
   std::optional<TimePoint> last_leader_contact_;
-  /// Voters that granted the running vote or pre-vote.
+  /// Voters, including this replica, that granted the vote or pre-vote in progress.
   std::set<ReplicaId> votes_;
   std::optional<LeaderState> leader_state_;
   bool wrong_incarnation_logged_ = false;
--- a/src/consensus/consensus_election.cpp
+++ b/src/consensus/consensus_election.cpp
@@ -1,8 +1,8 @@
 #include "consensus/consensus.h"
 #include "consensus/messages.h"
 
-/// Elections: section 5.2 and 5.4 of the paper; pre-vote, section 9.6 of the dissertation; voters that hear a
-/// leader ignore candidates, section 4.2.3.
+/// Elections (sections 5.2 and 5.4 of the paper) with pre-vote (section 9.6 of the dissertation). Voters in
+/// recent contact with a leader ignore candidates (section 4.2.3 of the dissertation).
 namespace cometstand::consensus {
 namespace {
 
@@ -10,8 +10,8 @@
 
 }  // namespace
 
-bool Consensus::hearsLeader() const {
-  // A leader that lost its quorum stepped down when the event began.
+bool Consensus::hasRecentLeaderContact() const {
+  // beginEvent() has already made a leader without a quorum step down.
   if (role_ == Role::Leader) return true;
   return last_leader_contact_ && now_ < *last_leader_contact_ + options_.election_timeout_min;
 }
@@ -19,7 +19,7 @@
 void Consensus::startPreVote() {
   resetPreVoteDeadline();
   if (!isVoter(log_.membership(), self_.id)) {
-    // A learner begins no election, but must not say that it hears a leader.
+    // A learner starts no election, but must no longer report a leader that has timed out.
     setRole(Role::Follower, 0);
     return;
   }
@@ -43,7 +43,7 @@
   wire::VoteRequestT request;
   request.term = term_;
   request.transfer = is_transfer;
-  // The candidate's own vote is on disk before anyone else is asked.
+  // Vote requests are sent only after the candidate's own vote is synced to disk.
   requestVotes(request, hard_state_write_);
 }
 
@@ -64,7 +64,7 @@
 
 void Consensus::handlePreVoteRequest(const wire::ConsensusMessageT& message,
                                      const wire::VoteRequestT& request) {
-  const bool granted = request.term > term_ && !hearsLeader() &&
+  const bool granted = request.term > term_ && !hasRecentLeaderContact() &&
                        log_.isUpToDate(request.last_log_index, request.last_log_term);
   wire::VoteReplyT vote;
   vote.term = granted ? request.term : term_;
@@ -76,12 +76,12 @@
 
 void Consensus::handleVoteRequest(const wire::ConsensusMessageT& message, const wire::VoteRequestT& request) {
   if (request.term > term_) {
-    if (hearsLeader() && !request.transfer) return;
+    if (hasRecentLeaderContact() && !request.transfer) return;
     adoptTerm(request.term);
   }
-  const bool is_free = voted_for_ == 0 || voted_for_ == request.candidate;
-  const bool granted =
-      request.term == term_ && is_free && log_.isUpToDate(request.last_log_index, request.last_log_term);
+  const bool is_vote_available = voted_for_ == 0 || voted_for_ == request.candidate;
+  const bool granted = request.term == term_ && is_vote_available &&
+                       log_.isUpToDate(request.last_log_index, request.last_log_term);
   if (granted && voted_for_ == 0) {
     voted_for_ = request.candidate;
     saveHardState();
@@ -95,8 +95,8 @@
 }
 
 void Consensus::handleVoteReply(const wire::ConsensusMessageT& message, const wire::VoteReplyT& vote) {
-  const bool names_own_proposal = vote.pre_vote && vote.granted;
-  if (vote.term > term_ && !names_own_proposal) return adoptTerm(vote.term);
+  const bool is_granted_pre_vote = vote.pre_vote && vote.granted;
+  if (vote.term > term_ && !is_granted_pre_vote) return adoptTerm(vote.term);
   const bool counts = vote.granted && isVoter(log_.membership(), message.from) && isExpectedSender(message);
   if (!counts) return;
   if (vote.pre_vote && role_ == Role::PreCandidate && vote.term == term_ + 1) {
--- a/src/consensus/consensus_follower.cpp
+++ b/src/consensus/consensus_follower.cpp
@@ -7,11 +7,12 @@
 #include "consensus/invariant.h"
 #include "consensus/messages.h"
 
-/// The receiver's side of log replication (section 5.3 of the paper) and of snapshots (section 7).
+/// Handling of append requests (section 5.3 of the paper) and snapshot requests (section 7 of the paper) by
+/// the receiver.
 namespace cometstand::consensus {
 namespace {
 
-/// Entries of a request carry the indexes that follow previous_index.
+/// @return true if the entries have consecutive indexes that start at previous_index + 1.
 bool isWellFormed(const wire::AppendRequestT& request) {
   LogIndex index = request.previous_index;
   return std::all_of(request.entries.begin(), request.entries.end(),
@@ -42,32 +43,33 @@
     logEvent(kMalformedMessage, {{"replica", self_.id}, {"peer", message.from}});
     return;
   }
-  wire::AppendReplyT answer;
-  answer.follower = self_.id;
-  answer.round = request.round;
+  wire::AppendReplyT append_reply;
+  append_reply.follower = self_.id;
+  append_reply.round = request.round;
   if (!followLeader(request.term, request.leader)) {
-    answer.term = term_;
-    return reply(message, answer, hard_state_write_);
+    append_reply.term = term_;
+    return reply(message, append_reply, hard_state_write_);
   }
-  answer.term = term_;
-  // Entries that left memory are committed, so they match.
+  append_reply.term = term_;
+  // Entries that are no longer in memory are committed, so they match the log of any leader.
   const bool matches = request.previous_index < log_.firstIndex() ||
                        log_.termAt(request.previous_index) == request.previous_term;
   if (!matches) {
-    answer.match_index = log_.conflictHint(request.previous_index);
-    return reply(message, answer, hard_state_write_);
+    append_reply.match_index = log_.conflictHint(request.previous_index);
+    return reply(message, append_reply, hard_state_write_);
   }
   storeEntries(request);
   const LogIndex matched = request.previous_index + request.entries.size();
   advanceCommit(std::min(request.commit_index, matched));
-  answer.success = true;
+  append_reply.success = true;
   if (request.entries.empty()) {
-    // A heartbeat is answered at once, also while the disk is slow; it acknowledges what is synced only.
-    answer.match_index = std::min(matched, log_.syncedIndex());
-    reply(message, answer, hard_state_write_);
+    // The reply to a heartbeat does not wait for pending writes, so that a slow disk does not delay it; it
+    // acknowledges synced entries only.
+    append_reply.match_index = std::min(matched, log_.syncedIndex());
+    reply(message, append_reply, hard_state_write_);
   } else {
-    answer.match_index = matched;
-    reply(message, answer, storage_.lastWrite());
+    append_reply.match_index = matched;
+    reply(message, append_reply, storage_.lastWrite());
   }
 }
 
@@ -90,9 +92,9 @@
     logEvent(kMalformedMessage, {{"replica", self_.id}, {"peer", message.from}});
     return;
   }
-  wire::SnapshotReplyT answer;
-  answer.follower = self_.id;
-  answer.round = request.round;
+  wire::SnapshotReplyT snapshot_reply;
+  snapshot_reply.follower = self_.id;
+  snapshot_reply.round = request.round;
   if (followLeader(request.term, request.leader)) {
     const LogIndex last_index = request.snapshot->last_index;
     if (last_index > commit_index_) {
@@ -103,10 +105,10 @@
       output_.installed_snapshot = request.snapshot;
       logEvent(kSnapshotInstalled, {{"replica", self_.id}, {"last_index", last_index}});
     }
-    answer.match_index = last_index;
+    snapshot_reply.match_index = last_index;
   }
-  answer.term = term_;
-  reply(message, answer, storage_.lastWrite());
+  snapshot_reply.term = term_;
+  reply(message, snapshot_reply, storage_.lastWrite());
 }
 
 }  // namespace cometstand::consensus
--- a/src/consensus/consensus_leader.cpp
+++ b/src/consensus/consensus_leader.cpp
@@ -5,8 +5,8 @@
 #include "consensus/consensus.h"
 #include "consensus/messages.h"
 
-/// The leader's side: replication (section 5.3 of the paper), commitment (5.4.2), rounds and reads (section
-/// 8; section 6.4 of the dissertation).
+/// The leader: log replication (section 5.3 of the paper), commitment (section 5.4.2 of the paper), heartbeat
+/// rounds and reads (section 8 of the paper; section 6.4 of the dissertation).
 namespace cometstand::consensus {
 namespace {
 
@@ -18,7 +18,8 @@
   setRole(Role::Leader, self_.id);
   leader_state_.emplace();
   updateFollowers();
-  // Section 8 of the paper: an entry of the own term commits what earlier leaders left behind.
+  // Committing a no-op of the current term also commits the entries of earlier leaders (section 8 of the
+  // paper).
   leader_state_->first_index = appendAsLeader(wire::EntryKind::Noop, {});
   beginRound();
 }
@@ -51,7 +52,8 @@
     output_.reads.push_back({ticket, false, 0});
     return;
   }
-  // Until an entry of the own term is committed, the commit index may lag behind an earlier leader's.
+  // Until an entry of the current term is committed, the commit index may be lower than that of an earlier
+  // leader.
   const LogIndex read_index = std::max(commit_index_, leader_state_->first_index);
   leader_state_->reads.push_back({ticket, leader_state_->rounds.current() + 1, read_index});
 }
@@ -62,7 +64,7 @@
   for (auto& [id, progress] : leader_state_->followers) {
     progress.paused = false;
     const bool sends_entries = progress.mode == ReplicationMode::Probe && progress.next <= log_.lastIndex();
-    // A probe with entries is the heartbeat as well.
+    // A probe with entries also serves as the heartbeat.
     if (!sends_entries) sendAppend(id, progress, false);
     replicate(id, progress);
   }
@@ -100,7 +102,7 @@
   request.leader = self_.id;
   request.round = leader_state_->rounds.current();
   const bool is_in_memory = progress.next >= log_.firstIndex();
-  // A follower that needs a snapshot is only told that this leader is there: index 0 always matches.
+  // A follower that needs a snapshot receives a heartbeat with previous index 0, which always matches.
   if (is_in_memory && progress.mode != ReplicationMode::Snapshot) {
     request.previous_index = progress.next - 1;
     request.previous_term = *log_.termAt(request.previous_index);
@@ -109,7 +111,7 @@
   if (with_entries) {
     for (const auto& entry :
          log_.slice(progress.next, options_.max_entries_per_append, options_.max_bytes_per_append)) {
-      // The generated type has no pointer to const; entries are never changed once made.
+      // The generated type holds pointers to non-const entries; entries are never modified after creation.
       request.entries.push_back(std::const_pointer_cast<wire::LogEntryT>(entry));
     }
     if (progress.mode == ReplicationMode::Pipeline) {
@@ -117,7 +119,7 @@
       progress.in_flight.push_back(progress.next - 1);
     }
   }
-  // Sent while the leader's own write is under way (section 10.2.1 of the dissertation).
+  // Sent without waiting for the leader's own disk write (section 10.2.1 of the dissertation).
   send(id, std::move(request), kNoWrite);
 }
 
@@ -145,35 +147,36 @@
   if (role_ != Role::Leader || term != term_ || !isExpectedSender(message)) return nullptr;
   FollowerProgress& progress = leader_state_->followers.at(message.from);
   if (progress.incarnation != message.from_incarnation) progress.onNewIncarnation(message.from_incarnation);
-  const auto answered = leader_state_->rounds.find(round);
-  if (answered && answered->number > progress.acked_round.number) progress.acked_round = *answered;
+  const auto reply_round = leader_state_->rounds.find(round);
+  if (reply_round && reply_round->number > progress.acked_round.number) progress.acked_round = *reply_round;
   return &progress;
 }
 
-void Consensus::handleAppendReply(const wire::ConsensusMessageT& message, const wire::AppendReplyT& answer) {
-  auto* progress = acceptReply(message, answer.term, answer.round);
+void Consensus::handleAppendReply(const wire::ConsensusMessageT& message,
+                                  const wire::AppendReplyT& append_reply) {
+  auto* progress = acceptReply(message, append_reply.term, append_reply.round);
   if (progress == nullptr) return;
-  if (answer.success && answer.match_index <= log_.lastIndex()) {
-    progress->onMatch(answer.match_index);
-  } else if (!answer.success) {
-    progress->onMismatch(answer.match_index, log_.lastIndex());
+  if (append_reply.success && append_reply.match_index <= log_.lastIndex()) {
+    progress->onMatch(append_reply.match_index);
+  } else if (!append_reply.success) {
+    progress->onMismatch(append_reply.match_index, log_.lastIndex());
   }
-  const bool has_base = progress->next >= log_.firstIndex();
-  if (progress->mode == ReplicationMode::Snapshot && has_base) progress->mode = ReplicationMode::Probe;
-  updateLeader();
+  const bool is_in_memory = progress->next >= log_.firstIndex();
+  if (progress->mode == ReplicationMode::Snapshot && is_in_memory) progress->mode = ReplicationMode::Probe;
+  updateLeaderState();
 }
 
 void Consensus::handleSnapshotReply(const wire::ConsensusMessageT& message,
-                                    const wire::SnapshotReplyT& answer) {
-  auto* progress = acceptReply(message, answer.term, answer.round);
-  if (progress == nullptr || answer.match_index > log_.lastIndex()) return;
-  progress->onMatch(answer.match_index);
+                                    const wire::SnapshotReplyT& snapshot_reply) {
+  auto* progress = acceptReply(message, snapshot_reply.term, snapshot_reply.round);
+  if (progress == nullptr || snapshot_reply.match_index > log_.lastIndex()) return;
+  progress->onMatch(snapshot_reply.match_index);
   progress->snapshot_sent_at.reset();
   if (progress->next >= log_.firstIndex()) progress->mode = ReplicationMode::Probe;
-  updateLeader();
+  updateLeaderState();
 }
 
-void Consensus::updateLeader() {
+void Consensus::updateLeaderState() {
   commitByQuorum();
   if (role_ != Role::Leader) return;
   finishReplacement();
@@ -183,10 +186,10 @@
 }
 
 void Consensus::commitByQuorum() {
-  // The leader counts itself only for what is on its own disk.
+  // The leader counts itself only for entries that are synced to its own disk.
   const auto index =
       quorumOf<LogIndex>(log_.syncedIndex(), [](const auto& progress) { return progress.match; });
-  // Section 5.4.2: only entries of the own term are committed by counting.
+  // Only entries of the current term are committed by counting replicas (section 5.4.2 of the paper).
   if (index > commit_index_ && log_.termAt(index) == term_) advanceCommit(index);
 }
 
@@ -196,9 +199,10 @@
   if (number <= leader_state_->quorum_round) return;
   leader_state_->quorum_round = number;
   const auto round = leader_state_->rounds.find(number);
-  // Before that the commit index may lag behind an earlier leader's.
-  const bool knows_commit_index = commit_index_ >= leader_state_->first_index;
-  if (round && knows_commit_index) output_.quorum_round = {term_, number, round->began_at, commit_index_};
+  // Until the leader has committed an entry in its term, its commit index may be lower than that of an
+  // earlier leader.
+  const bool has_committed_in_term = commit_index_ >= leader_state_->first_index;
+  if (round && has_committed_in_term) output_.quorum_round = {term_, number, round->began_at, commit_index_};
 }
 
 void Consensus::resolveReads() {
@@ -211,17 +215,19 @@
 }
 
 bool Consensus::hasQuorum() const {
-  // Answers count from when their round was sent: those that waited while this process was frozen are old.
-  const auto heard_at =
+  // Contact is dated by the start of the acknowledged round, not by the arrival of the reply: replies that
+  // were queued while this process was suspended do not count as recent contact.
+  const auto quorum_contact_at =
       quorumOf<TimePoint>(now_, [](const auto& progress) { return progress.acked_round.began_at; });
-  return now_ <= heard_at + options_.election_timeout_max;
+  return now_ <= quorum_contact_at + options_.election_timeout_max;
 }
 
 std::vector<FollowerStatus> Consensus::followers() const {
   std::vector<FollowerStatus> result;
   if (role_ != Role::Leader) return result;
   for (const auto& [id, progress] : leader_state_->followers) {
-    // A new leader has heard nobody yet, though it gives each an election timeout.
+    // began_at of a follower that has not replied yet is the time when its progress was created, and its
+    // round number is 0; such a follower is not reported as active.
     const bool is_active = progress.acked_round.number != 0 &&
                            now_ <= progress.acked_round.began_at + options_.election_timeout_max;
     result.push_back({id, isLearner(log_.membership(), id), progress.match, is_active});
--- a/src/consensus/consensus_membership.cpp
+++ b/src/consensus/consensus_membership.cpp
@@ -10,8 +10,8 @@
 #include "consensus/events.h"
 #include "consensus/messages.h"
 
-/// Membership changes by one replica at a time (chapter 4 of the dissertation), leadership transfer (section
-/// 3.10) and compaction (section 7 of the paper).
+/// Single-server membership changes (chapter 4 of the dissertation), leadership transfer (section 3.10 of the
+/// dissertation) and log compaction (section 7 of the paper).
 namespace cometstand::consensus {
 namespace {
 
@@ -24,8 +24,9 @@
     throw Error(ErrorKind::Unavailable, fmt::format("replica {} is not the leader", self_.id),
                 "ask the leader", options_.election_timeout_max);
   }
-  // Without this, changes of two leaders could overlap (Ongaro, "bug in single-server membership changes",
-  // raft-dev, 2015).
+  // A leader that has not committed an entry in its term could start a change while one of an earlier leader
+  // is still uncommitted; the quorums of the two might not overlap (Ongaro, "bug in single-server membership
+  // changes", raft-dev, 2015).
   if (commit_index_ < leader_state_->first_index) {
     throw Error(ErrorKind::Unavailable, "the leader has not committed an entry in its term yet",
                 "repeat the change", options_.heartbeat_interval);
@@ -56,7 +57,7 @@
 
 LogIndex Consensus::appendMembership(const wire::MembershipT& membership) {
   const LogIndex index = appendAsLeader(wire::EntryKind::Membership, encodeMembership(membership));
-  // In force from the moment it is in the log (section 4.1).
+  // A membership takes effect when it is appended, before it is committed (section 4.1 of the dissertation).
   updateFollowers();
   return index;
 }
@@ -71,7 +72,7 @@
       if (replica->id == self_.id || followers.contains(replica->id)) continue;
       FollowerProgress progress;
       progress.next = log_.lastIndex() + 1;
-      // As if it had just been heard, so that a new leader has an election timeout to reach a quorum.
+      // Counts as contact now, so that a new leader has a full election timeout to reach a quorum.
       progress.acked_round.began_at = now_;
       if (isVoter(log_.membership(), replica->id)) progress.incarnation = replica->incarnation;
       followers.emplace(replica->id, progress);
@@ -91,8 +92,8 @@
                                 {"voters", log_.membership().voters.size()},
                                 {"learners", log_.membership().learners.size()}});
   if (role_ != Role::Leader || isVoter(log_.membership(), self_.id)) return;
-  // Section 4.2.2: a leader that removed itself leads until the change is committed; the others learn of that
-  // by one more round.
+  // A leader that removed itself steps down once the change is committed (section 4.2.2 of the dissertation).
+  // One more heartbeat round sends the new commit index to the other replicas.
   transferLeadershipToAny(now_);
   beginRound();
   setRole(Role::Follower, 0);
@@ -127,7 +128,8 @@
   if (role_ != Role::Failed) beginEvent(now);
   if (role_ != Role::Leader) return false;
   ReplicaId target = 0;
-  // The one heard last, so that a voter that is gone is not waited for; then the one with the longest log.
+  // Prefers the voter that acknowledged the newest round, so that an unreachable voter is not chosen while
+  // another one is reachable; among equals, the one with the highest match index.
   std::pair<std::uint64_t, LogIndex> best;
   for (const auto& voter : log_.membership().voters) {
     if (voter->id == self_.id) continue;
@@ -158,12 +160,13 @@
 void Consensus::compact(LogIndex applied_index, std::vector<std::uint8_t> state) {
   if (role_ == Role::Failed || applied_index == log_.snapshotIndex()) return;
   if (applied_index < log_.snapshotIndex() || applied_index > delivered_index_) {
-    throw Error(ErrorKind::Invalid, fmt::format("a snapshot at index {} does not fit the log", applied_index),
+    throw Error(ErrorKind::Invalid,
+                fmt::format("snapshot index {} is outside the applied part of the log", applied_index),
                 "take the snapshot at the last applied index");
   }
   if (state.size() > options_.max_snapshot_bytes) {
     throw Error(ErrorKind::Invalid,
-                fmt::format("a state of {} bytes is too large for a snapshot", state.size()),
+                fmt::format("state of {} bytes exceeds the snapshot size limit", state.size()),
                 "remove configuration objects; the limit is max_snapshot_bytes");
   }
   auto snapshot = std::make_shared<wire::ConsensusSnapshotT>();
--- a/src/consensus/messages.h
+++ b/src/consensus/messages.h
@@ -4,7 +4,7 @@
 
 #include "consensus/consensus.h"
 
-/// Templates of Consensus that its source files share.
+/// Definitions of the member templates of Consensus that several of its source files use.
 namespace cometstand::consensus {
 
 template <typename Body>
@@ -32,6 +32,8 @@
   outbox_.add(std::move(message), after);
 }
 
+/// @param own the value of this replica, which must be the leader.
+/// @param of_follower returns the value for the FollowerProgress of another voter.
 /// @return the highest value that a quorum of the voters has reached.
 template <typename Value, typename OwnValue, typename FollowerValue>
 Value Consensus::quorumOf(OwnValue own, FollowerValue of_follower) const {
--- a/src/consensus/outbox.h
+++ b/src/consensus/outbox.h
@@ -8,43 +8,44 @@
 
 namespace cometstand::consensus {
 
-/// Holds messages back until what they promise is on disk.
+/// Queues outgoing messages until the file operation that they depend on is synced.
 class Outbox {
  public:
-  /// @param after the file operation that has to be synced first; 0 for none.
+  /// @param after the file operation that must be synced before the message is sent; 0 if there is none.
   void add(wire::ConsensusMessageT message, runtime::WriteId after) {
-    held_.push_back({after, std::move(message)});
+    queue_.push_back({after, std::move(message)});
   }
 
-  /// Moves the messages whose operation is synced to the end of `ready`, in order.
+  /// Moves the messages whose file operation is synced to the end of `ready`, in the order of add().
   void release(runtime::WriteId synced, std::vector<wire::ConsensusMessageT>& ready) {
-    std::vector<Held> rest;
-    for (auto& held : held_) {
-      if (held.after <= synced) {
-        ready.push_back(std::move(held.message));
+    std::vector<QueuedMessage> remaining;
+    for (auto& queued : queue_) {
+      if (queued.after <= synced) {
+        ready.push_back(std::move(queued.message));
       } else {
-        rest.push_back(std::move(held));
+        remaining.push_back(std::move(queued));
       }
     }
-    held_ = std::move(rest);
+    queue_ = std::move(remaining);
   }
 
-  /// Drops the acknowledgements that are still held: a newer leader may drop the entries that they name.
+  /// Drops queued acknowledgements, because a leader of a newer term may replace the entries that they
+  /// acknowledge.
   void dropAcknowledgements() {
-    std::erase_if(held_, [](const Held& held) {
-      const auto type = held.message.body.type;
+    std::erase_if(queue_, [](const QueuedMessage& queued) {
+      const auto type = queued.message.body.type;
       return type == wire::ConsensusBody::AppendReply || type == wire::ConsensusBody::SnapshotReply;
     });
   }
 
-  void clear() { held_.clear(); }
+  void clear() { queue_.clear(); }
 
  private:
-  struct Held {
+  struct QueuedMessage {
     runtime::WriteId after;
     wire::ConsensusMessageT message;
   };
-  std::vector<Held> held_;
+  std::vector<QueuedMessage> queue_;
 };
 
 }  // namespace cometstand::consensus
--- a/src/consensus/output.h
+++ b/src/consensus/output.h
@@ -11,77 +11,79 @@
 
 namespace cometstand::consensus {
 
-/// Never reused between replicas; 0 means none.
+/// Unique among all replicas that ever existed in the cluster, including removed ones; 0 means none.
 using ReplicaId = std::uint64_t;
 using Term = std::uint64_t;
-/// Position in the log; the first entry has index 1.
+/// Index of a log entry; the first entry has index 1.
 using LogIndex = std::uint64_t;
 
-/// Names one read request; chosen by the caller, unique within one process.
+/// Identifies one read request; assigned by the caller and unique within one process.
 enum class ReadTicket : std::uint64_t {};
 
 using LogEntryPointer = std::shared_ptr<const wire::LogEntryT>;
 using SnapshotPointer = std::shared_ptr<const wire::ConsensusSnapshotT>;
 
 enum class Role : std::uint8_t {
-  /// The data folder is empty and the replica was not bootstrapped: it waits to be added as a learner.
+  /// The data folder is empty and the replica was not bootstrapped; it waits to be added as a learner.
   Joining,
-  /// Takes entries from the leader; a learner has this role too.
+  /// Accepts log entries from the leader; learners also have this role.
   Follower,
-  /// Asks whether an election could be won, without raising its term (dissertation, section 9.6).
+  /// Requests pre-votes without incrementing its term (section 9.6 of the dissertation).
   PreCandidate,
   Candidate,
   Leader,
-  /// The disk failed: the replica takes no part any more until it is restarted.
+  /// A disk operation failed; the replica does not participate until it is restarted.
   Failed,
 };
 
-/// What this replica knows about its own and the cluster's leadership.
+/// Role of this replica, its current term and the leader of that term.
 struct Leadership {
   Role role = Role::Joining;
   Term term = 0;
-  /// 0 if not known.
+  /// 0 if unknown.
   ReplicaId leader = 0;
   friend bool operator==(const Leadership&, const Leadership&) = default;
 };
 
-/// Answer to requestRead().
+/// Result of requestRead().
 struct ReadResult {
   ReadTicket ticket;
-  /// True: this replica was the leader at some moment after the request, and every entry up to read_index is
-  /// in `committed` of this or an earlier output. False: it is not known to be; ask another replica.
+  /// True if this replica was the leader at some time after the request, and every entry up to read_index is
+  /// in Output::committed of this or an earlier output. False if leadership could not be verified; the caller
+  /// should retry at another replica.
   bool confirmed = false;
   LogIndex read_index = 0;
 };
 
-/// A quorum answered a heartbeat round of this leader.
+/// A heartbeat round of this leader that a quorum has acknowledged.
 struct QuorumRound {
   Term term = 0;
-  /// Rises within a term.
+  /// Round number, which increases within a term.
   std::uint64_t round = 0;
-  /// When the round was sent: this replica was the leader at that moment or later.
+  /// Time when the round was sent; this replica was the leader at that time or later.
   TimePoint began_at;
-  /// Commit index when the quorum had answered.
+  /// Commit index at the time when the quorum had acknowledged the round.
   LogIndex commit_index = 0;
 };
 
-/// What is to be done and what happened since the last takeOutput(). The caller handles the fields in the
-/// order written here.
+/// Actions to perform and results since the last takeOutput(). The caller must process the fields in the
+/// order of their declaration.
 struct Output {
-  /// Carried out one at a time in this order; reported by onFileWritten() or onFileFailed().
+  /// File operations, to be performed one at a time in this order. The caller reports completion by
+  /// onFileWritten() or onFileFailed().
   std::vector<runtime::FileWrite> writes;
-  /// To be sent at once; what they promise is already synced. Any of them may be lost.
+  /// Messages to be sent immediately; the state that they depend on is already synced. Messages may be lost.
   std::vector<wire::ConsensusMessageT> messages;
-  /// Set if role, term or leader changed: the newest values.
+  /// The current values, set if role, term or leader changed.
   std::optional<Leadership> leadership;
-  /// Set if the state machine must be replaced by this snapshot's state before `committed` is applied: after
-  /// recover() if there is a snapshot, and when the leader sent one.
+  /// Set if the state machine must be reset to the state of this snapshot before `committed` is applied:
+  /// after recover() if a snapshot is stored, and after a snapshot from the leader was installed.
   SnapshotPointer installed_snapshot;
-  /// Newly committed entries, in order and without gaps; each is given once. Entries of kind Noop and
-  /// Membership are given too, so that indexes have no gaps.
+  /// Newly committed entries, in order and without gaps; each entry is returned once. Entries of kind Noop
+  /// and Membership are included, so that the indexes are consecutive.
   std::vector<LogEntryPointer> committed;
   std::vector<ReadResult> reads;
-  /// The newest round that a quorum answered, if there is a new one.
+  /// The newest heartbeat round that a quorum has acknowledged, if it was not returned before.
   std::optional<QuorumRound> quorum_round;
 };
 
