--- a/tests/consensus/election_test.cpp
+++ b/tests/consensus/election_test.cpp
@@ -11,16 +11,16 @@
 using std::chrono::seconds;
 using wire::ConsensusBodyUnion;
 
-TEST_CASE("a replica that was cut off does not raise the term") {
+TEST_CASE("a replica that was partitioned does not increment the term") {
   SimulatedCluster cluster(3, 1);
   const ReplicaId leader = cluster.waitForLeader();
   const Term term = cluster.at(leader).leadership.term;
   const ReplicaId other = leader % 3 + 1;
-  SECTION("both ways") { cluster.isolate(other); }
-  SECTION("it is heard, but hears nobody") {
+  SECTION("no messages in either direction") { cluster.isolate(other); }
+  SECTION("its messages arrive, but it receives none") {
     for (const ReplicaId id : cluster.ids()) cluster.cut(id, other);
   }
-  SECTION("it hears everybody but the leader") { cluster.cut(leader, other); }
+  SECTION("it receives messages from all replicas but the leader") { cluster.cut(leader, other); }
   cluster.runFor(seconds(10));
   cluster.heal();
   cluster.runFor(seconds(2));
@@ -29,7 +29,7 @@
   CHECK(cluster.commitEverywhere(cluster.ids()));
 }
 
-TEST_CASE("a voter that hears its leader refuses a vote for a newer term") {
+TEST_CASE("a voter in recent contact with a leader ignores vote requests of a newer term") {
   SoloReplica replica;
   wire::AppendRequestT heartbeat;
   heartbeat.term = 5;
@@ -44,19 +44,19 @@
   replica.receive(3, request);
   CHECK(replica->leadership().term == 5);
   CHECK(replica.takeSent(&ConsensusBodyUnion::AsVoteReply).empty());
-  SECTION("but not if the leader hands over") {
+  SECTION("grants the vote if the request is part of a leadership transfer") {
     request.transfer = true;
     replica.receive(3, request);
     CHECK(replica.takeSent(&ConsensusBodyUnion::AsVoteReply).at(0).granted);
   }
-  SECTION("nor once it heard nothing for the election timeout") {
+  SECTION("grants the vote after an election timeout without contact") {
     replica.now += SimulatedCluster::testOptions().election_timeout_min;
     replica.receive(3, request);
     CHECK(replica.takeSent(&ConsensusBodyUnion::AsVoteReply).at(0).granted);
   }
 }
 
-TEST_CASE("a vote is synced before it is told") {
+TEST_CASE("a vote is synced before the reply is sent") {
   SoloReplica replica;
   replica.disk.held = true;
   wire::VoteRequestT request;
@@ -66,15 +66,15 @@
   request.last_log_term = 1;
   replica.receive(3, request);
   CHECK(replica.takeSent(&ConsensusBodyUnion::AsVoteReply).empty());
-  SECTION("and told once it is synced") {
+  SECTION("the reply is sent after the sync") {
     replica.disk.held = false;
     replica.settle();
     CHECK(replica.takeSent(&ConsensusBodyUnion::AsVoteReply).at(0).granted);
   }
-  SECTION("and after a crash it is not given to another candidate") {
+  SECTION("after a restart no vote is granted to another candidate in the same term") {
     replica.disk.held = false;
     replica.settle();
-    Consensus again(
+    Consensus restarted(
         SimulatedCluster::testOptions(),
         [] {
           wire::ReplicaT self;
@@ -82,19 +82,19 @@
           return self;
         }(),
         RandomSource(2));
-    again.recover(replica.disk, replica.now);
-    CHECK(again.leadership().term == 2);
+    restarted.recover(replica.disk, replica.now);
+    CHECK(restarted.leadership().term == 2);
     wire::ConsensusMessageT message;
     message.from = 2;
     message.to = 1;
     request.candidate = 2;
     message.body.Set(request);
-    again.onMessage(message, replica.now);
-    CHECK_FALSE(again.takeOutput().messages.at(0).body.AsVoteReply()->granted);
+    restarted.onMessage(message, replica.now);
+    CHECK_FALSE(restarted.takeOutput().messages.at(0).body.AsVoteReply()->granted);
   }
 }
 
-TEST_CASE("a candidate's own vote is synced before it asks others and before it counts") {
+TEST_CASE("a candidate's own vote is synced before vote requests are sent and before it is counted") {
   SoloReplica replica;
   replica.timeOut();
   replica.sent.clear();
@@ -109,7 +109,7 @@
   CHECK(replica->leadership().role == Role::Leader);
 }
 
-TEST_CASE("a candidate with an older log gets no vote") {
+TEST_CASE("a candidate whose log is less up-to-date gets no vote") {
   SimulatedCluster cluster(3, 2);
   const ReplicaId leader = cluster.waitForLeader();
   const ReplicaId behind = leader % 3 + 1;
@@ -122,7 +122,7 @@
   CHECK(cluster.waitForLeader() == 6 - leader - behind);
 }
 
-TEST_CASE("only entries of the leader's own term are committed by counting") {
+TEST_CASE("only entries of the leader's current term are committed by counting replicas") {
   SoloReplica replica;
   wire::AppendRequestT request;
   request.term = 2;
@@ -137,22 +137,22 @@
   replica.becomeLeader();
   REQUIRE(replica->leadership().role == Role::Leader);
   replica.receiveAck(2, 2, 1);
-  // Figure 8 of the paper: a later leader may still replace entry 2.
+  // A later leader may still replace entry 2 (figure 8 of the paper).
   CHECK(replica->commitIndex() == 0);
   replica.receiveAck(2, 3, 1);
   CHECK(replica->commitIndex() == 3);
 }
 
-TEST_CASE("an entry counts on a replica only once it is synced there") {
+TEST_CASE("a replica counts towards the commit quorum of an entry only after syncing it") {
   SimulatedCluster cluster(3, 3);
   const ReplicaId leader = cluster.waitForLeader();
   REQUIRE(cluster.commitEverywhere(cluster.ids()));
   const LogIndex before = cluster.checker().lastApplied();
   const ReplicaId other = leader % 3 + 1;
-  SECTION("not on two followers") {
+  SECTION("neither follower has synced it") {
     for (const ReplicaId id : cluster.ids()) cluster.holdDisk(id, id != leader);
   }
-  SECTION("not on the leader and a follower") {
+  SECTION("the leader and one follower have not synced it") {
     cluster.holdDisk(leader, true);
     cluster.holdDisk(other, true);
   }
@@ -163,11 +163,11 @@
   CHECK(cluster.commitEverywhere(cluster.ids()));
 }
 
-TEST_CASE("a leader that reaches no quorum steps down") {
+TEST_CASE("a leader without contact to a quorum steps down") {
   SimulatedCluster cluster(3, 4);
   const ReplicaId leader = cluster.waitForLeader();
   const Term term = cluster.at(leader).leadership.term;
-  SECTION("cut off") {
+  SECTION("partitioned in both directions") {
     cluster.isolate(leader);
     const ReadTicket ticket = cluster.requestRead(leader);
     cluster.runFor(seconds(1));
@@ -175,12 +175,12 @@
     CHECK(cluster.at(leader).leadership.term == term);
     CHECK_FALSE(cluster.at(leader).reads.at(ticket).confirmed);
   }
-  SECTION("it is heard, but hears nobody") {
+  SECTION("its messages arrive, but it receives none") {
     for (const ReplicaId id : cluster.ids()) cluster.cut(id, leader);
     cluster.runFor(seconds(1));
     CHECK(cluster.at(leader).leadership.role != Role::Leader);
   }
-  SECTION("frozen: at its first event, before it answers anything") {
+  SECTION("suspended: steps down at the first event, before it handles a read or a proposal") {
     cluster.freeze(leader, seconds(5));
     REQUIRE(cluster.waitForLeader(leader) != 0);
     cluster.runFor(seconds(1));
@@ -190,7 +190,9 @@
     CHECK_FALSE(cluster.at(leader).reads.at(ticket).confirmed);
     CHECK_FALSE(cluster.propose(leader));
   }
-  SECTION("frozen for less than its limit, yet another leads: the read is not confirmed") {
+  SECTION(
+      "resumed before its quorum contact expires, after another leader was elected: a read is not "
+      "confirmed") {
     cluster.freeze(leader, seconds(5));
     REQUIRE(cluster.waitForLeader(leader) != 0);
     cluster.at(leader).frozen_until = {};
@@ -198,7 +200,7 @@
     cluster.runFor(seconds(1));
     CHECK_FALSE(cluster.at(leader).reads.at(ticket).confirmed);
   }
-  SECTION("frozen, with answers from before waiting for it") {
+  SECTION("suspended with old replies queued: they do not count as contact") {
     cluster.freeze(leader, seconds(5));
     cluster.runFor(seconds(5));
     cluster.runUntil([&] { return cluster.at(leader).leadership.role != Role::Leader; }, milliseconds(1));
@@ -208,29 +210,29 @@
   CHECK(cluster.commitEverywhere(cluster.ids()));
 }
 
-TEST_CASE("leadership is handed over") {
+TEST_CASE("leadership transfer") {
   SimulatedCluster cluster(3, 5);
   const ReplicaId leader = cluster.waitForLeader();
   const ReplicaId target = leader % 3 + 1;
   REQUIRE(cluster.propose(leader));
-  SECTION("to a voter that is up, without a timeout") {
+  SECTION("a running voter becomes leader without an election timeout") {
     cluster.transfer(leader, target);
     CHECK_FALSE(cluster.propose(leader));
     cluster.runFor(milliseconds(100));
     CHECK(cluster.at(target).leadership.role == Role::Leader);
     CHECK(cluster.commitEverywhere(cluster.ids()));
   }
-  SECTION("not to one that is down: the leader takes proposals again") {
+  SECTION("if the target is down, the leader accepts proposals again") {
     cluster.crash(target);
     cluster.transfer(leader, target);
     CHECK_FALSE(cluster.propose(leader));
     cluster.runFor(seconds(1));
     CHECK(cluster.propose(leader));
   }
-  SECTION("not to one that is no voter") { CHECK_THROWS_AS(cluster.transfer(leader, 9), Error); }
+  SECTION("a target that is not a voter is refused") { CHECK_THROWS_AS(cluster.transfer(leader, 9), Error); }
 }
 
-TEST_CASE("a read is confirmed by a round that begins after it was asked") {
+TEST_CASE("a read is confirmed by a heartbeat round that begins after the request") {
   SoloReplica replica;
   replica.becomeLeader();
   SECTION("not before an entry of the leader's term is committed") {
@@ -242,11 +244,11 @@
     CHECK(replica.reads.at(0).confirmed);
     CHECK(replica.reads.at(0).read_index == 2);
   }
-  SECTION("an answer to an earlier round does not count") {
+  SECTION("a reply to an earlier round does not count") {
     replica.receiveAck(2, 2, 1);
     replica->onTimer(replica.now += SimulatedCluster::testOptions().heartbeat_interval);
     replica.settle();
-    // Round 2 is on its way.
+    // Round 2 is sent but not acknowledged.
     replica->requestRead(ReadTicket{7}, replica.now);
     replica.settle();
     replica.receiveAck(2, 2, 2);
@@ -254,30 +256,30 @@
     replica.receiveAck(3, 2, 3);
     CHECK(replica.reads.at(0).confirmed);
   }
-  SECTION("one that stepped down answers that it does not know") {
+  SECTION("a leader that steps down does not confirm pending reads") {
     replica->requestRead(ReadTicket{7}, replica.now);
-    wire::AppendRequestT newer;
-    newer.term = 9;
-    newer.leader = 3;
-    replica.receive(3, newer);
+    wire::AppendRequestT newer_heartbeat;
+    newer_heartbeat.term = 9;
+    newer_heartbeat.leader = 3;
+    replica.receive(3, newer_heartbeat);
     CHECK_FALSE(replica.reads.at(0).confirmed);
   }
 }
 
-TEST_CASE("replicas that all start anew elect a leader before the shortest election timeout has passed") {
+TEST_CASE("after a restart of all replicas a leader is elected within the minimum election timeout") {
   SimulatedCluster cluster(3, GENERATE(1, 2, 3, 4, 5));
   cluster.waitForLeader();
   for (const ReplicaId id : cluster.ids()) cluster.crash(id);
   for (const ReplicaId id : cluster.ids()) cluster.start(id);
-  const auto leads = [&cluster] {
+  const auto has_leader = [&cluster] {
     const auto ids = cluster.ids();
     return std::any_of(ids.begin(), ids.end(),
                        [&](ReplicaId id) { return cluster.at(id).leadership.role == Role::Leader; });
   };
-  CHECK(cluster.runUntil(leads, SimulatedCluster::testOptions().election_timeout_min));
+  CHECK(cluster.runUntil(has_leader, SimulatedCluster::testOptions().election_timeout_min));
 }
 
-TEST_CASE("a replica that starts beside a live leader does not disturb it") {
+TEST_CASE("a replica that restarts does not disrupt the current leader") {
   SimulatedCluster cluster(3, GENERATE(1, 2, 3));
   const ReplicaId leader = cluster.waitForLeader();
   const Term term = cluster.at(leader).leadership.term;
--- a/tests/consensus/random_faults_test.cpp
+++ b/tests/consensus/random_faults_test.cpp
@@ -4,51 +4,53 @@
 #include "base/event_log.h"
 #include "simulated_cluster.h"
 
-/// Random faults by seed; what must hold is checked after every step by the cluster.
+/// Injects random faults, determined by a seed. SimulatedCluster checks the invariants after every step.
 namespace cometstand::consensus {
 namespace {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Breaks and mends one cluster at random. At most a minority of the voters is without its disk at any time.
+/// Injects and repairs random faults in one cluster. At most one voter at a time has lost its disk and is not
+/// replaced yet.
 class FaultDriver {
  public:
   FaultDriver(std::size_t voters, std::uint64_t seed) : cluster_(voters, seed), random_(seed + 1) {}
 
   void run(int rounds) {
     for (int round = 0; round < rounds; ++round) {
-      breakSomething();
-      work();
+      injectFault();
+      issueRequests();
       cluster_.runFor(random_.uniform(milliseconds(10), milliseconds(400)));
     }
   }
 
-  /// Everything is mended: every member must apply the same, new entries.
-  bool recovers() {
+  /// Removes all faults, restarts all replicas and completes a pending replacement.
+  /// @return true if every voter then applies a newly committed entry.
+  bool recoverAndCommit() {
     cluster_.heal();
     cluster_.faults = {};
     restartAll();
-    constexpr int kRepairSteps = 60;
-    for (int step = 0; step < kRepairSteps && lost_ != 0; ++step) {
-      if (const ReplicaId leader = cluster_.waitForLeader(); leader != 0) repair(leader);
+    constexpr int kMaxReplacementSteps = 60;
+    for (int step = 0; step < kMaxReplacementSteps && lost_voter_ != 0; ++step) {
+      if (const ReplicaId leader = cluster_.waitForLeader(); leader != 0) continueReplacement(leader);
       cluster_.runFor(milliseconds(500));
     }
     const ReplicaId leader = cluster_.waitForLeader();
-    return leader != 0 && lost_ == 0 &&
-           cluster_.commitEverywhere(members(cluster_.consensus(leader).membership()));
+    return leader != 0 && lost_voter_ == 0 &&
+           cluster_.commitEverywhere(voterIds(cluster_.consensus(leader).membership()));
   }
 
   SimulatedCluster& cluster() { return cluster_; }
 
  private:
-  void breakSomething() {
-    const ReplicaId victim = pick();
+  void injectFault() {
+    const ReplicaId target = pickReplica();
     switch (random_.uniform(0, 11)) {
       case 0:
-        return cluster_.isolate(victim);
+        return cluster_.isolate(target);
       case 1:
-        return cluster_.cut(victim, pick());
+        return cluster_.cut(target, pickReplica());
       case 2:
       case 3:
         return cluster_.heal();
@@ -59,69 +61,72 @@
         cluster_.faults = {};
         return;
       case 6:
-        if (cluster_.isUp(victim)) cluster_.crash(victim);
+        if (cluster_.isUp(target)) cluster_.crash(target);
         return;
       case 7:
         return restartAll();
       case 8:
-        return cluster_.freeze(victim, random_.uniform(milliseconds(50), seconds(3)));
+        return cluster_.freeze(target, random_.uniform(milliseconds(50), seconds(3)));
       case 9:
-        return loseDisk(victim);
+        return loseDisk(target);
       case 10:
-        if (isActive(victim)) cluster_.compact(victim);
+        if (isActive(target)) cluster_.compact(target);
         return;
       default:
-        return transfer(victim);
+        return transfer(target);
     }
   }
 
-  /// What clients and operators do meanwhile, at every replica that thinks it leads.
-  void work() {
+  /// Sends proposals, reads and membership changes to every running replica, as clients and operators do;
+  /// only a leader accepts them.
+  void issueRequests() {
     for (const ReplicaId id : cluster_.ids()) {
       if (!isActive(id)) continue;
       for (auto count = random_.uniform(0, 6); count > 0; --count)
         cluster_.propose(id, random_.uniform(8, 400));
       cluster_.requestRead(id);
-      repair(id);
+      continueReplacement(id);
     }
   }
 
   void transfer(ReplicaId from) {
     if (!isActive(from)) return;
     try {
-      cluster_.transfer(from, pick());
-    } catch (const Error&) {  // Not the leader, or the target has no vote.
+      cluster_.transfer(from, pickReplica());
+    } catch (const Error&) {  // Not the leader, or the target is not a voter.
     }
   }
 
-  void loseDisk(ReplicaId victim) {
+  void loseDisk(ReplicaId target) {
     const ReplicaId leader = cluster_.waitForLeader();
-    const bool is_voter = leader != 0 && isVoter(cluster_.consensus(leader).membership(), victim);
-    if (!is_voter || lost_ != 0) return;
-    if (cluster_.isUp(victim)) cluster_.crash(victim);
-    cluster_.at(victim).disk.lose();
-    lost_ = victim;
-    replacement_ = next_id_++;
+    const bool is_voter = leader != 0 && isVoter(cluster_.consensus(leader).membership(), target);
+    if (!is_voter || lost_voter_ != 0) return;
+    if (cluster_.isUp(target)) cluster_.crash(target);
+    cluster_.at(target).disk.lose();
+    lost_voter_ = target;
+    replacement_ = next_replica_id_++;
     cluster_.start(replacement_);
   }
 
-  /// Puts a new replica into the place of the one that lost its disk, step by step.
-  void repair(ReplicaId leader) {
-    if (lost_ == 0) return;
+  /// Performs the next step to replace the voter that lost its disk: adds a learner, then requests
+  /// ReplaceVoter.
+  void continueReplacement(ReplicaId leader) {
+    if (lost_voter_ == 0) return;
     const auto membership = cluster_.consensus(leader).membership();
     const bool is_committed =
         cluster_.checker().lastApplied() == cluster_.consensus(leader).lastIndex() && isLeader(leader);
-    const bool lost_is_member = findReplica(membership, lost_) != nullptr;
-    const bool replacement_votes = isVoter(membership, replacement_);
+    const bool lost_is_member = findReplica(membership, lost_voter_) != nullptr;
+    const bool replacement_is_voter = isVoter(membership, replacement_);
     try {
-      if (!lost_is_member && replacement_votes) {
-        if (is_committed) lost_ = replacement_ = 0;
+      if (!lost_is_member && replacement_is_voter) {
+        if (is_committed) lost_voter_ = replacement_ = 0;
       } else if (findReplica(membership, replacement_) == nullptr) {
         cluster_.change(leader, MembershipChangeKind::AddLearner, replacement_);
-      } else if (!replacement_votes) {
-        cluster_.change(leader, MembershipChangeKind::ReplaceVoter, replacement_, lost_);
+      } else if (!replacement_is_voter) {
+        cluster_.change(leader, MembershipChangeKind::ReplaceVoter, replacement_, lost_voter_);
       }
-    } catch (const Error&) {  // Not the leader, another change runs, or not caught up: the next round tries.
+    } catch (const Error&) {  // Not the leader, another change in progress, or not caught up: the next call
+                              // retries.
     }
   }
 
@@ -134,12 +139,12 @@
   bool isActive(ReplicaId id) { return cluster_.isUp(id) && cluster_.now() >= cluster_.at(id).frozen_until; }
   bool isLeader(ReplicaId id) { return cluster_.at(id).leadership.role == Role::Leader; }
 
-  ReplicaId pick() {
+  ReplicaId pickReplica() {
     const auto ids = cluster_.ids();
     return ids[random_.uniform(0, ids.size() - 1)];
   }
 
-  static std::vector<ReplicaId> members(const wire::MembershipT& membership) {
+  static std::vector<ReplicaId> voterIds(const wire::MembershipT& membership) {
     std::vector<ReplicaId> result;
     for (const auto& voter : membership.voters) result.push_back(voter->id);
     return result;
@@ -147,34 +152,34 @@
 
   SimulatedCluster cluster_;
   RandomSource random_;
-  ReplicaId lost_ = 0;
+  ReplicaId lost_voter_ = 0;
   ReplicaId replacement_ = 0;
-  ReplicaId next_id_ = 100;
+  ReplicaId next_replica_id_ = 100;
 };
 
 void runSeeds(std::size_t voters) {
-  constexpr std::uint64_t kSeeds = 200;
-  constexpr int kRounds = 60;
-  // Lost disks are refused with an error event each.
+  constexpr std::uint64_t kSeedCount = 200;
+  constexpr int kRoundCount = 60;
+  // Suppresses all but errors; each replica that is started without its lost disk causes an expected one.
   setLogLevel(LogLevel::Error);
   std::size_t entries = 0;
   std::size_t reads = 0;
   Term terms = 0;
-  for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
+  for (std::uint64_t seed = 1; seed <= kSeedCount; ++seed) {
     INFO("seed " << seed << ", voters " << voters);
     FaultDriver driver(voters, seed);
-    REQUIRE_NOTHROW(driver.run(kRounds));
+    REQUIRE_NOTHROW(driver.run(kRoundCount));
     bool recovered = false;
-    REQUIRE_NOTHROW(recovered = driver.recovers());
+    REQUIRE_NOTHROW(recovered = driver.recoverAndCommit());
     REQUIRE(recovered);
     entries += driver.cluster().checker().lastApplied();
     reads += driver.cluster().checker().confirmedReads();
     terms += driver.cluster().checker().lastTerm();
   }
-  // The runs would show nothing if they did not get anywhere.
-  CHECK(entries > 20 * kSeeds);
-  CHECK(reads > 10 * kSeeds);
-  CHECK(terms > 5 * kSeeds);
+  // Ensures that the runs make enough progress for the checks to be meaningful.
+  CHECK(entries > 20 * kSeedCount);
+  CHECK(reads > 10 * kSeedCount);
+  CHECK(terms > 5 * kSeedCount);
 }
 
 }  // namespace
--- a/tests/consensus/solo_replica.h
+++ b/tests/consensus/solo_replica.h
@@ -10,7 +10,7 @@
 
 namespace cometstand::consensus {
 
-/// Replica 1 of three; the test writes the messages of the other two.
+/// Runs replica 1 of a three-voter cluster; the test constructs the messages of the other two voters.
 class SoloReplica {
  public:
   SoloReplica() : consensus_(SimulatedCluster::testOptions(), member(1), RandomSource(1)) {
@@ -23,7 +23,8 @@
     settle();
   }
 
-  /// Takes outputs; finishes file operations unless the disk is held.
+  /// Processes outputs and completes file operations until none is pending; completes none while the disk is
+  /// held.
   void settle() {
     do {
       if (!disk.isIdle() && !disk.held) consensus_.onFileWritten(disk.finishNext(), now);
@@ -55,23 +56,23 @@
   }
 
   void receiveAck(ReplicaId from, LogIndex match, std::uint64_t round) {
-    wire::AppendReplyT answer;
-    answer.term = consensus_.leadership().term;
-    answer.follower = from;
-    answer.success = true;
-    answer.match_index = match;
-    answer.round = round;
-    receive(from, answer);
+    wire::AppendReplyT append_reply;
+    append_reply.term = consensus_.leadership().term;
+    append_reply.follower = from;
+    append_reply.success = true;
+    append_reply.match_index = match;
+    append_reply.round = round;
+    receive(from, append_reply);
   }
 
-  /// Waits for the election timeout: the replica asks for pre-votes.
+  /// Advances the time to the next timer, the election timeout; the replica then requests pre-votes.
   void timeOut() {
     now = consensus_.nextTimer();
     consensus_.onTimer(now);
     settle();
   }
 
-  /// Wins an election with the vote of replica 2.
+  /// Makes the replica win an election with the vote of replica 2.
   void becomeLeader() {
     timeOut();
     const Term term = consensus_.leadership().term + 1;
@@ -79,7 +80,7 @@
     receiveVote(2, term, false);
   }
 
-  /// @return the messages of one type sent since the last call; drops the others.
+  /// @return the messages of one type sent since the last call. Messages of other types are discarded.
   template <typename Body>
   std::vector<Body> takeSent(const Body* (wire::ConsensusBodyUnion::*as)() const) {
     std::vector<Body> result;
@@ -95,7 +96,7 @@
 
   SimulatedDisk disk;
   TimePoint now{std::chrono::hours(1)};
-  /// Of the data folders that the other two answer from; the membership names 0.
+  /// Data folder incarnation in the messages of the other two voters; the membership expects 0.
   std::uint64_t peer_incarnation = 0;
   std::vector<wire::ConsensusMessageT> sent;
   std::vector<ReadResult> reads;
