--- a/src/consensus/consensus.h
+++ b/src/consensus/consensus.h
@@ -76,10 +76,10 @@
   bool transferLeadershipToAny(TimePoint now);
 
   /// Changes the membership by one replica (chapter 4 of the dissertation). Only one change may be in
-  /// progress at a time. ReplaceVoter takes two membership entries: after the first one, which promotes the
-  /// learner, is committed, the leader of that time appends the second one, which removes the replaced voter.
-  /// The replacement is complete once membership() no longer contains the replaced voter and the second entry
-  /// is committed.
+  /// progress at a time. ReplaceVoter takes two membership entries: the first one promotes the
+  /// learner; once it is committed, the current leader appends the second one, which removes the replaced
+  /// voter. The replacement is complete once membership() no longer contains the replaced voter and the
+  /// second entry is committed.
   /// @return the index of the membership entry; the change is complete once that index is committed.
   /// @throw Error(Unavailable) if this replica is not the leader or has not committed an entry in its term
   /// yet; Error(Conflict) if a change is in progress or the learner has not caught up; Error(NotFound) or
@@ -177,8 +177,8 @@
   void updateFollowers();
   bool isCaughtUp(const FollowerProgress& progress) const;
   void onMembershipCommitted();
-  /// Second step of ReplaceVoter: removes the replaced voter. Performed by the leader at the time when the
-  /// promotion is committed, which may be a later one than the leader that started the replacement.
+  /// Second step of ReplaceVoter: removes the replaced voter once the promotion is committed. The current
+  /// leader does this even if an earlier leader started the replacement.
   void finishReplacement();
   void continueTransfer();
 
--- a/src/consensus/events.h
+++ b/src/consensus/events.h
@@ -8,14 +8,12 @@
 
 inline constexpr EventDefinition kRoleChanged{
     2001, LogLevel::Info, "consensus_role_changed",
-    "The role, term or known leader of this replica changed. No action "
-    "is needed unless this is logged every few seconds; in that "
-    "case check the network between the replicas."};
+    "The role, term or known leader of this replica changed. No action is needed unless this is logged "
+    "every few seconds; in that case check the network between the replicas."};
 inline constexpr EventDefinition kTornTailDropped{
     2002, LogLevel::Warning, "log_torn_tail_dropped",
-    "The last log file ended with an incomplete record, which was "
-    "discarded; it was never acknowledged. No action is "
-    "needed after a power loss; otherwise check the disk."};
+    "The last log file ended with an incomplete record, which was discarded; it was never acknowledged. No "
+    "action is needed after a power loss; otherwise check the disk."};
 inline constexpr EventDefinition kDiskFailed{
     2003, LogLevel::Error, "consensus_disk_failed",
     "A write to the data folder failed and the replica stopped participating. Replace the disk and start the "
@@ -43,8 +41,8 @@
     2009, LogLevel::Info, "membership_changed", "A membership change was committed. No action is needed."};
 inline constexpr EventDefinition kMalformedMessage{
     2010, LogLevel::Warning, "consensus_message_malformed",
-    "A consensus message from a peer was malformed and was "
-    "dropped. Check that all replicas run compatible versions."};
+    "A consensus message from a peer was malformed and was dropped. Check that "
+    "all replicas run compatible versions."};
 
 inline constexpr std::array kConsensusEvents{
     kRoleChanged, kTornTailDropped, kDiskFailed,        kWrongIncarnation,  kWaitingToJoin,
