--- a/src/consensus/leader_state.cpp
+++ b/src/consensus/leader_state.cpp
@@ -24,11 +24,11 @@
 
 void FollowerProgress::onMismatch(LogIndex hint, LogIndex last_index) {
   if (mode == ReplicationMode::Snapshot) return;
-  const LogIndex wanted = std::min(hint, last_index) + 1;
-  const bool is_asked_already = mode == ReplicationMode::Probe && paused && next == wanted;
-  if (is_asked_already) return;
+  const LogIndex new_next = std::min(hint, last_index) + 1;
+  const bool is_already_probed = mode == ReplicationMode::Probe && paused && next == new_next;
+  if (is_already_probed) return;
   mode = ReplicationMode::Probe;
-  next = wanted;
+  next = new_next;
   paused = false;
   in_flight.clear();
 }
--- a/src/consensus/leader_state.h
+++ b/src/consensus/leader_state.h
@@ -10,25 +10,26 @@
 
 namespace cometstand::consensus {
 
-/// One heartbeat round of a leader: every append request sent while it is the newest carries its number.
+/// A heartbeat round of a leader. Every append request carries the number of the newest round at the time it
+/// is sent.
 struct Round {
   std::uint64_t number = 0;
   TimePoint began_at;
-  /// Commit index when it began.
+  /// The leader's commit index when the round began.
   LogIndex commit_index = 0;
 };
 
-/// Rounds of one leadership, newest last.
+/// The heartbeat rounds of one leader term, in ascending order.
 class RoundTracker {
  public:
   std::uint64_t begin(TimePoint now, LogIndex commit_index);
-  /// @return 0 before the first one.
+  /// @return the number of the newest round, or 0 before the first round.
   std::uint64_t current() const { return current_; }
-  /// @return nothing if the round is unknown or so old that it was forgotten.
+  /// @return nothing if the round is unknown or was evicted because it is more than kMaxRounds old.
   std::optional<Round> find(std::uint64_t number) const;
 
  private:
-  /// Far more than fit an election timeout.
+  /// Far more than the number of rounds that begin within an election timeout.
   static constexpr std::size_t kMaxRounds = 4096;
 
   std::uint64_t current_ = 0;
@@ -36,41 +37,45 @@
 };
 
 enum class ReplicationMode : std::uint8_t {
-  /// Finds out where the logs match: one request at a time.
+  /// The match index is unknown: the leader sends one append request at a time to find it.
   Probe,
-  /// Sends ahead of the answers.
+  /// The leader sends append requests without waiting for earlier responses.
   Pipeline,
-  /// The follower needs entries that left memory: a snapshot is on its way.
+  /// The follower needs entries that are no longer in memory: the leader sends a snapshot instead.
   Snapshot,
 };
 
-/// What a leader knows of one other replica.
+/// Replication state that a leader keeps for another replica.
 struct FollowerProgress {
   ReplicationMode mode = ReplicationMode::Probe;
-  /// Last index known to be on the follower's disk.
+  /// Match index: last log index known to be synced to the follower's disk.
   LogIndex match = 0;
-  /// Next index to send.
+  /// Next index: first log index of the next append request.
   LogIndex next = 1;
-  /// Set in Probe mode while a request is unanswered; heartbeats clear it.
+  /// Set in Probe mode while an append request is outstanding; each heartbeat clears it.
   bool paused = false;
-  /// Last index of each unanswered request with entries, in Pipeline mode.
+  /// In Pipeline mode, the last log index of each outstanding append request that carries entries.
   std::deque<LogIndex> in_flight;
-  /// Set while a snapshot is unanswered.
+  /// Time at which the outstanding snapshot was sent; nothing if none is outstanding.
   std::optional<TimePoint> snapshot_sent_at;
-  /// Newest round it answered.
+  /// Newest heartbeat round that the follower acknowledged.
   Round acked_round;
-  /// Incarnation that its answers name; nothing before the first answer.
+  /// Incarnation named in the follower's responses; nothing before the first response.
   std::optional<std::uint64_t> incarnation;
 
-  /// Stored on the follower's disk up to this index.
+  /// Records that the follower has synced the log up to `index`.
   void onMatch(LogIndex index);
-  /// The logs do not match; the hint is the last index that may.
+  /// Moves the next index back after a log mismatch.
+  /// @param hint the highest log index at which the logs may match.
+  /// @param last_index the leader's last log index.
   void onMismatch(LogIndex hint, LogIndex last_index);
-  /// Its data folder is a new one: nothing that was known holds any more.
+  /// Resets the replication state, except for the next index, because the follower's data folder was
+  /// replaced.
   void onNewIncarnation(std::uint64_t new_incarnation);
 };
 
-/// A read waiting for its round and for its entries.
+/// A linearizable read that waits until a quorum acknowledges its heartbeat round and the commit index
+/// reaches its read index.
 struct PendingRead {
   ReadTicket ticket;
   std::uint64_t round = 0;
@@ -82,15 +87,16 @@
   TimePoint deadline;
 };
 
-/// What a replica keeps only while it leads.
+/// State that a replica keeps only while it is the leader.
 struct LeaderState {
   std::map<ReplicaId, FollowerProgress> followers;
   RoundTracker rounds;
-  /// Newest round that a quorum answered.
+  /// Newest heartbeat round that a quorum acknowledged.
   std::uint64_t quorum_round = 0;
   std::deque<PendingRead> reads;
   TimePoint next_heartbeat;
-  /// Index of the no-op that began the term (section 8 of the paper).
+  /// Index of the no-op entry that the leader appended at the start of its term (section 8 of the Raft
+  /// paper).
   LogIndex first_index = 0;
   std::optional<LeadershipTransfer> transfer;
 };
--- a/src/consensus/log_storage.cpp
+++ b/src/consensus/log_storage.cpp
@@ -20,9 +20,9 @@
 constexpr std::string_view kSegmentPrefix = "log-";
 constexpr std::size_t kSegmentDigits = 20;
 
-[[noreturn]] void throwCorrupt(const std::string& file, const std::string& what) {
+[[noreturn]] void throwCorrupt(const std::string& file, const std::string& problem) {
   throw Error(
-      ErrorKind::Corrupt, fmt::format("file {} of the data folder: {}", file, what),
+      ErrorKind::Corrupt, fmt::format("file {} in the data folder: {}", file, problem),
       "keep the folder for inspection; start the replica with an empty folder under a new id and let it "
       "replace this one");
 }
@@ -36,7 +36,8 @@
                      [](char c) { return c >= '0' && c <= '9'; });
 }
 
-/// Reads a file that is one whole record.
+/// Reads a file that consists of exactly one record.
+/// @return the decoded object, or nothing if the file does not exist.
 template <typename Decoder>
 auto readSingleRecord(const runtime::FileReader& files, const char* file, Decoder decode)
     -> decltype(decode({})) {
@@ -44,14 +45,15 @@
   if (!bytes) return std::nullopt;
   const auto payload = findPayload(*bytes);
   if (!payload || payload->size() + kRecordHeaderBytes != bytes->size()) {
-    throwCorrupt(file, "the checksum or length is wrong");
+    throwCorrupt(file, "checksum or length mismatch");
   }
   auto object = decode(*payload);
-  if (!object) throwCorrupt(file, "the content cannot be read");
+  if (!object) throwCorrupt(file, "the payload is not a valid table of the expected type");
   return object;
 }
 
-/// Adds a replayed entry; one that is not past the last drops what it replaces.
+/// Appends an entry during recovery. An entry whose index is not greater than the last one truncates the log
+/// from its index on.
 /// @return false if entries are missing before it.
 bool replayEntry(std::vector<LogEntryPointer>& entries, LogEntryPointer entry, LogIndex snapshot_index) {
   const LogIndex index = entry->index;
@@ -67,14 +69,14 @@
   return true;
 }
 
-/// @return whether the entries continue the snapshot (section 7 of the paper).
+/// @return true if the log entries are consistent with the snapshot (section 7 of the Raft paper).
 bool continuesSnapshot(const wire::ConsensusSnapshotT& snapshot,
                        const std::vector<LogEntryPointer>& entries) {
   if (entries.empty()) return true;
   const LogIndex first = entries.front()->index;
   if (first == snapshot.last_index + 1) return true;
-  const bool reaches = snapshot.last_index <= entries.back()->index;
-  return reaches && entries[snapshot.last_index - first]->term == snapshot.last_term;
+  const bool covers_snapshot_index = snapshot.last_index <= entries.back()->index;
+  return covers_snapshot_index && entries[snapshot.last_index - first]->term == snapshot.last_term;
 }
 
 }  // namespace
@@ -83,28 +85,30 @@
   StoredState state;
   state.hard_state = readSingleRecord(files, kHardStateFile, decodeHardState);
   if (auto snapshot = readSingleRecord(files, kSnapshotFile, decodeSnapshot)) {
-    if (!snapshot->membership) throwCorrupt(kSnapshotFile, "the membership is missing");
+    if (!snapshot->membership) throwCorrupt(kSnapshotFile, "the snapshot has no membership");
     state.snapshot = std::make_shared<const wire::ConsensusSnapshotT>(std::move(*snapshot));
   }
   readSegments(files, state.snapshot ? state.snapshot->last_index : 0, state);
   if (state.snapshot && !continuesSnapshot(*state.snapshot, state.entries)) dropLog(state);
 
   if (!state.hard_state) {
-    // A bootstrap writes the first entry before the hard state; if it was interrupted, nothing was promised.
+    // A bootstrap writes the first log entry before the hard state. If it was interrupted between the two,
+    // the replica has neither voted nor acknowledged an entry, and the log can be removed.
     const bool is_unused = !state.snapshot && state.entries.size() <= 1;
     if (!is_unused) throwCorrupt(kHardStateFile, "the file is missing");
     dropLog(state);
     return state;
   }
-  const bool is_newer = !state.entries.empty() && state.entries.back()->term > state.hard_state->term;
-  if (is_newer) throwCorrupt(kHardStateFile, "its term is older than the log's");
+  const bool log_term_is_newer =
+      !state.entries.empty() && state.entries.back()->term > state.hard_state->term;
+  if (log_term_is_newer) throwCorrupt(kHardStateFile, "its term is lower than that of the last log entry");
   return state;
 }
 
 void LogStorage::dropLog(StoredState& state) {
   state.entries.clear();
-  // On disk too: entries appended later must not be read after those that they do not follow. From the back:
-  // a crash in between then leaves entries without gaps.
+  // Also remove the segments, so that recovery does not read later entries after these unrelated ones. Remove
+  // them from the last to the first: a crash in between then leaves entries without gaps.
   while (!segments_.empty()) removeSegment(segments_.size() - 1);
   bytes_since_snapshot_ = 0;
 }
@@ -133,16 +137,16 @@
   while (segment.bytes < all.size()) {
     const auto payload = findPayload(all.subspan(segment.bytes));
     if (!payload) {
-      if (!is_last) throwCorrupt(file, fmt::format("damaged at byte {}", segment.bytes));
+      if (!is_last) throwCorrupt(file, fmt::format("invalid record at byte {}", segment.bytes));
       dropTornTail(file, bytes, segment.bytes);
       break;
     }
     auto entry = decodeLogEntry(*payload);
-    if (!entry) throwCorrupt(file, fmt::format("the entry at byte {} cannot be read", segment.bytes));
+    if (!entry) throwCorrupt(file, fmt::format("the record at byte {} is not a log entry", segment.bytes));
     const LogIndex index = entry->index;
     auto pointer = std::make_shared<const wire::LogEntryT>(std::move(*entry));
     if (!replayEntry(state.entries, std::move(pointer), snapshot_index)) {
-      throwCorrupt(file, fmt::format("entries are missing before index {}", index));
+      throwCorrupt(file, fmt::format("log entries are missing before index {}", index));
     }
     segment.bytes += kRecordHeaderBytes + payload->size();
     segment.last_index = std::max(segment.last_index, index);
@@ -154,7 +158,7 @@
                               std::size_t valid_bytes) {
   const auto tail = std::span(bytes).subspan(valid_bytes);
   if (containsRecord(tail.subspan(1))) {
-    throwCorrupt(file, fmt::format("damaged at byte {}, with valid entries after it", valid_bytes));
+    throwCorrupt(file, fmt::format("invalid record at byte {} is followed by a valid record", valid_bytes));
   }
   logEvent(kTornTailDropped, {{"file", file}, {"kept_bytes", valid_bytes}, {"dropped_bytes", tail.size()}});
   auto& write = addWrite(file, runtime::FileWriteMode::Replace);
@@ -170,9 +174,9 @@
   Segment& segment = segments_.back();
   const auto record = encodeRecord(entry);
   const auto file = segmentName(segment.number);
-  const bool joins = !writes_.empty() && writes_.back().file == file &&
-                     writes_.back().mode == runtime::FileWriteMode::Append;
-  auto& write = joins ? writes_.back() : addWrite(file, runtime::FileWriteMode::Append);
+  const bool extends_last_write = !writes_.empty() && writes_.back().file == file &&
+                                  writes_.back().mode == runtime::FileWriteMode::Append;
+  auto& write = extends_last_write ? writes_.back() : addWrite(file, runtime::FileWriteMode::Append);
   write.bytes.insert(write.bytes.end(), record.begin(), record.end());
   segment.bytes += record.size();
   segment.last_index = std::max(segment.last_index, entry.index);
@@ -181,9 +185,10 @@
 
 void LogStorage::saveSnapshot(const wire::ConsensusSnapshotT& snapshot, bool keep_log) {
   addWrite(kSnapshotFile, runtime::FileWriteMode::Replace).bytes = encodeRecord(snapshot);
-  // From the back if all go, as in dropLog().
+  // If the whole log is removed, remove the last segment first: a crash in between then leaves entries
+  // without gaps.
   while (!segments_.empty() && !keep_log) removeSegment(segments_.size() - 1);
-  // Otherwise only from the front, so that the numbers stay without gaps.
+  // Otherwise remove segments only from the front, so that the segment numbers stay contiguous.
   while (!segments_.empty() && segments_.front().last_index <= snapshot.last_index) removeSegment(0);
   bytes_since_snapshot_ = 0;
 }
--- a/src/consensus/log_storage.h
+++ b/src/consensus/log_storage.h
@@ -12,53 +12,53 @@
 
 namespace cometstand::consensus {
 
-/// What a data folder holds.
+/// State read from a data folder.
 struct StoredState {
-  /// Nothing if the folder was never bootstrapped and never joined a cluster.
+  /// Nothing if the replica was never bootstrapped and never joined a cluster.
   std::optional<wire::HardStateT> hard_state;
   SnapshotPointer snapshot;
-  /// Entries without gaps; the first one is at most one past the snapshot.
+  /// Log entries with contiguous indexes. The first index is at most one past the last index of the snapshot.
   std::vector<LogEntryPointer> entries;
 };
 
-/// The files of the consensus module and the order in which they change. Turns changes into FileWrites; the
-/// caller carries them out in order.
+/// Persistent storage of the consensus module. Translates each change of the state into file operations
+/// (FileWrite), which the caller carries out in the order of their ids.
 ///
-/// - `hard-state`: replica id, incarnation, term and vote. Replaced as a whole: it is small and changes with
-///   elections only, and a reader never has to search a log for the newest one.
-/// - `snapshot`: the newest snapshot, replaced as a whole.
-/// - `log-<number>`: segments of entry records, only appended to. A record whose index is not past the last
-/// one
-///   drops that index and what follows, so that a truncation needs no write of its own.
+/// - `hard-state`: replica id, incarnation, term and vote. The file is replaced as a whole: it is small and
+///   changes only with elections, and recovery does not have to search a log for the newest state.
+/// - `snapshot`: the newest snapshot. The file is replaced as a whole.
+/// - `log-<number>`: append-only segments of log entry records. A record whose index is not greater than that
+///   of the last entry truncates the log from its index on, so that a truncation needs no write of its own.
 ///
-/// A record that is cut short at the very end was never acknowledged and is dropped. Any other damage is
-/// refused: skipping it could lose acknowledged entries.
+/// An incomplete record at the end of the last segment was never acknowledged and is discarded. Any other
+/// damage is an error, because ignoring it could lose acknowledged entries.
 class LogStorage {
  public:
   explicit LogStorage(std::size_t segment_bytes) : segment_bytes_(segment_bytes) {}
 
-  /// Reads the folder. An unfinished record at the end is dropped, by a first write.
-  /// @throw Error(Corrupt) if the files are damaged or do not fit together; the message names the file.
+  /// Reads the data folder. If the last segment ends with an incomplete record, the first file operation
+  /// truncates the segment.
+  /// @throw Error(Corrupt) if the files are damaged or inconsistent. The message names the file.
   StoredState recover(const runtime::FileReader& files);
 
   void saveHardState(const wire::HardStateT& state);
   void appendEntry(const wire::LogEntryT& entry);
-  /// Replaces the snapshot, then removes the segments that it covers.
-  /// @param keep_log false removes all segments: the log does not fit the snapshot.
+  /// Replaces the snapshot, then removes the log segments that it covers.
+  /// @param keep_log if false, all segments are removed because the log does not match the snapshot.
   void saveSnapshot(const wire::ConsensusSnapshotT& snapshot, bool keep_log);
 
-  /// @return the id of the newest operation; all earlier ones have smaller ids. 0 if there was none.
+  /// @return the id of the newest file operation, or 0 if there was none. Ids increase with each operation.
   runtime::WriteId lastWrite() const { return runtime::WriteId(next_write_ - 1); }
-  /// Moves out the operations asked for since the last call.
+  /// @return the file operations added since the previous call.
   std::vector<runtime::FileWrite> takeWrites();
-  /// Log bytes on disk since the last snapshot.
+  /// @return the number of log bytes appended since the last snapshot.
   std::size_t bytesSinceSnapshot() const { return bytes_since_snapshot_; }
 
  private:
   struct Segment {
     std::uint64_t number = 0;
     std::size_t bytes = 0;
-    /// Highest index of any record in it.
+    /// Highest log index of all records in the segment.
     LogIndex last_index = 0;
   };
 
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -65,7 +65,7 @@
 wire::MembershipT decodeMembership(const std::vector<std::uint8_t>& bytes) {
   flatbuffers::Verifier verifier(bytes.data(), bytes.size());
   if (!verifier.VerifyBuffer<wire::Membership>(nullptr)) {
-    throw Error(ErrorKind::Corrupt, "a membership entry cannot be read",
+    throw Error(ErrorKind::Corrupt, "a membership log entry is not a valid Membership table",
                 "start the replica with an empty folder under a new id and let it replace this one");
   }
   wire::MembershipT membership;
@@ -90,7 +90,7 @@
 std::size_t quorumSize(const wire::MembershipT& membership) { return membership.voters.size() / 2 + 1; }
 
 wire::MembershipT applyChange(const wire::MembershipT& membership, const MembershipChange& change,
-                              std::uint64_t learned_incarnation) {
+                              std::uint64_t reported_incarnation) {
   wire::MembershipT result = membership;
   switch (change.kind) {
     case MembershipChangeKind::AddLearner:
@@ -101,11 +101,11 @@
         throw Error(ErrorKind::NotFound, fmt::format("replica {} is not a voter", change.replaced),
                     "name the voter that is to be replaced");
       }
-      promoteLearner(result, change.replica.id, learned_incarnation);
+      promoteLearner(result, change.replica.id, reported_incarnation);
       result.replaced = change.replaced;
       break;
     case MembershipChangeKind::PromoteLearner:
-      promoteLearner(result, change.replica.id, learned_incarnation);
+      promoteLearner(result, change.replica.id, reported_incarnation);
       break;
     case MembershipChangeKind::RemoveReplica:
       removeReplica(result, change.replica.id);
--- a/src/consensus/membership.h
+++ b/src/consensus/membership.h
@@ -12,7 +12,7 @@
 namespace cometstand::consensus {
 
 enum class MembershipChangeKind : std::uint8_t {
-  /// Adds `replica`, which gets the log but has no vote.
+  /// Adds `replica` as a learner: it receives the log but does not vote.
   AddLearner,
   /// Makes the learner `replica.id` a voter.
   PromoteLearner,
@@ -24,54 +24,58 @@
 
 struct MembershipChange {
   MembershipChangeKind kind = MembershipChangeKind::AddLearner;
-  /// Only the id is read, except by AddLearner.
+  /// AddLearner uses all fields; the other kinds use only the id.
   wire::ReplicaT replica;
-  /// Only read by ReplaceVoter.
+  /// Id of the voter to remove; used only by ReplaceVoter.
   ReplicaId replaced = 0;
 };
 
-/// What a leader knows of another replica.
+/// Status of another replica as the leader reports it.
 struct FollowerStatus {
   ReplicaId id = 0;
   bool is_learner = false;
-  /// Last index known to be on the follower's disk.
+  /// Last log index known to be synced to the follower's disk.
   LogIndex match_index = 0;
-  /// True if it answered within the last election timeout.
+  /// True if the replica responded within the last election timeout.
   bool is_active = false;
 };
 
 std::vector<std::uint8_t> encodeMembership(const wire::MembershipT& membership);
 
-/// @throw Error(Corrupt) if the bytes are no membership.
+/// @throw Error(Corrupt) if the bytes are not a valid membership.
 wire::MembershipT decodeMembership(const std::vector<std::uint8_t>& bytes);
 
 bool isVoter(const wire::MembershipT& membership, ReplicaId id);
 bool isLearner(const wire::MembershipT& membership, ReplicaId id);
 
-/// @return the voter or learner of that id, or nullptr.
+/// @return the voter or learner with that id, or nullptr if there is none.
 const wire::ReplicaT* findReplica(const wire::MembershipT& membership, ReplicaId id);
 
-/// @return the smallest number of voters that is more than half of them.
+/// @return the smallest number of voters that is a majority.
 std::size_t quorumSize(const wire::MembershipT& membership);
 
-/// @return the highest value that a quorum of the voters has reached, given each voter's value. At least one.
+/// @return the highest value that a quorum of the voters has reached.
+/// @param values one value for each voter; not empty.
 template <typename Value>
 Value quorumValue(std::vector<Value> values) {
   const auto position = values.begin() + static_cast<std::ptrdiff_t>((values.size() - 1) / 2);
-  // Sorted ascending, the values from this position on are held by more than half.
+  // In ascending order, the values from this position to the end belong to a majority of the voters.
   std::nth_element(values.begin(), position, values.end());
   return *position;
 }
 
-/// @return the membership with one replica added, promoted or removed. At most one voter differs, so that any
-/// quorum of the old one shares a voter with any quorum of the new one (section 4.1 of the dissertation). For
-/// ReplaceVoter this is the promotion.
-/// @param learned_incarnation of the replica to be promoted, as its answers say.
-/// @throw Error(NotFound), Error(Conflict) or Error(Invalid) if the change does not fit.
+/// Applies a single-server membership change. At most one voter differs between the old and the new
+/// membership, so that every quorum of the one shares a voter with every quorum of the other (section 4.1 of
+/// the Raft dissertation).
+/// @return the membership with one replica added, promoted or removed. For ReplaceVoter, the learner is
+/// promoted and the voter to remove is recorded in `replaced`.
+/// @param reported_incarnation incarnation that the replica to be promoted named in its responses.
+/// @throw Error(NotFound), Error(Conflict) or Error(Invalid) if the change cannot be applied to the
+/// membership.
 wire::MembershipT applyChange(const wire::MembershipT& membership, const MembershipChange& change,
-                              std::uint64_t learned_incarnation);
+                              std::uint64_t reported_incarnation);
 
-/// @throw Error(Invalid) if ids are 0 or repeated, or there is no voter.
+/// @throw Error(Invalid) if an id is 0 or occurs twice, or if there is no voter.
 void checkMembership(const wire::MembershipT& membership);
 
 }  // namespace cometstand::consensus
--- a/src/consensus/record_codec.cpp
+++ b/src/consensus/record_codec.cpp
@@ -8,15 +8,15 @@
 namespace cometstand::consensus {
 namespace {
 
-constexpr std::uint32_t kMagic = 0x43534c52;  // "RLSC" in file order
-constexpr unsigned kByteBits = 8;
+constexpr std::uint32_t kMagic = 0x43534c52;  // The bytes "RLSC" in the file.
+constexpr unsigned kBitsPerByte = 8;
 constexpr std::size_t kLengthOffset = 4;
 constexpr std::size_t kChecksumOffset = 8;
 
 template <typename Integer>
 void putInteger(std::vector<std::uint8_t>& bytes, Integer value) {
   for (std::size_t i = 0; i < sizeof(Integer); ++i) {
-    bytes.push_back(static_cast<std::uint8_t>(value >> (kByteBits * i)));
+    bytes.push_back(static_cast<std::uint8_t>(value >> (kBitsPerByte * i)));
   }
 }
 
@@ -24,7 +24,7 @@
 Integer getInteger(std::span<const std::uint8_t> bytes) {
   Integer value = 0;
   for (std::size_t i = 0; i < sizeof(Integer); ++i) {
-    value |= static_cast<Integer>(static_cast<Integer>(bytes[i]) << (kByteBits * i));
+    value |= static_cast<Integer>(static_cast<Integer>(bytes[i]) << (kBitsPerByte * i));
   }
   return value;
 }
@@ -49,7 +49,7 @@
 
 template <typename Table, typename Object>
 std::optional<Object> decodeTable(std::span<const std::uint8_t> payload) {
-  // FlatBuffers offsets are aligned to the buffer's start; the file's bytes are not.
+  // FlatBuffers requires an aligned buffer. The payload may start at any offset of the file, so it is copied.
   std::vector<std::uint64_t> words(payload.size() / sizeof(std::uint64_t) + 1);
   auto* bytes = reinterpret_cast<std::uint8_t*>(words.data());
   std::copy(payload.begin(), payload.end(), bytes);
--- a/src/consensus/replicated_log.cpp
+++ b/src/consensus/replicated_log.cpp
@@ -42,9 +42,9 @@
 
 LogIndex ReplicatedLog::conflictHint(LogIndex index) const {
   if (index > lastIndex()) return lastIndex();
-  const auto conflicting = termAt(index);
+  const auto conflicting_term = termAt(index);
   LogIndex hint = index;
-  while (hint > base_index_ && termAt(hint) == conflicting) --hint;
+  while (hint > base_index_ && termAt(hint) == conflicting_term) --hint;
   return hint;
 }
 
@@ -54,14 +54,14 @@
 }
 
 void ReplicatedLog::append(LogEntryPointer entry) {
-  checkInvariant(entry->index == lastIndex() + 1, "entries are appended without gaps");
+  checkInvariant(entry->index == lastIndex() + 1, "appended entries have contiguous indexes");
   storage_.appendEntry(*entry);
   addToMemory(std::move(entry));
-  expectSync();
+  addPendingSync();
 }
 
 void ReplicatedLog::truncateFrom(LogIndex index) {
-  checkInvariant(index > snapshotIndex(), "entries in the snapshot are never dropped");
+  checkInvariant(index > snapshotIndex(), "entries covered by the snapshot are not truncated");
   entries_.resize(index - firstIndex());
   while (memberships_.size() > 1 && memberships_.back().index >= index) memberships_.pop_back();
   synced_index_ = std::min(synced_index_, index - 1);
@@ -80,25 +80,25 @@
     memberships_.erase(memberships_.begin());
   }
   snapshot_ = std::move(snapshot);
-  expectSync();
+  addPendingSync();
 }
 
 void ReplicatedLog::install(SnapshotPointer snapshot) {
-  const bool continues = termAt(snapshot->last_index) == snapshot->last_term;
-  storage_.saveSnapshot(*snapshot, continues);
-  std::vector<LogEntryPointer> rest;
-  if (continues) rest = slice(snapshot->last_index + 1, entries_.size(), SIZE_MAX);
+  const bool matches_snapshot = termAt(snapshot->last_index) == snapshot->last_term;
+  storage_.saveSnapshot(*snapshot, matches_snapshot);
+  std::vector<LogEntryPointer> remaining_entries;
+  if (matches_snapshot) remaining_entries = slice(snapshot->last_index + 1, entries_.size(), SIZE_MAX);
   snapshot_ = std::move(snapshot);
   base_index_ = snapshot_->last_index;
   base_term_ = snapshot_->last_term;
   entries_.clear();
   memberships_ = {{base_index_, *snapshot_->membership}};
-  for (auto& entry : rest) addToMemory(std::move(entry));
-  if (!continues) {
+  for (auto& entry : remaining_entries) addToMemory(std::move(entry));
+  if (!matches_snapshot) {
     synced_index_ = 0;
     pending_syncs_.clear();
   }
-  expectSync();
+  addPendingSync();
 }
 
 const wire::MembershipT& ReplicatedLog::membership() const { return memberships_.back().membership; }
@@ -125,7 +125,7 @@
   entries_.push_back(std::move(entry));
 }
 
-void ReplicatedLog::expectSync() {
+void ReplicatedLog::addPendingSync() {
   const auto write = storage_.lastWrite();
   if (!pending_syncs_.empty() && pending_syncs_.back().write == write) pending_syncs_.pop_back();
   pending_syncs_.push_back({write, lastIndex()});
@@ -135,13 +135,13 @@
   Term previous = base_term_;
   LogIndex index = base_index_;
   for (const auto& entry : entries_) {
-    checkInvariant(entry->index == ++index, "indexes rise by one");
-    checkInvariant(entry->term >= previous, "terms never fall along the log");
+    checkInvariant(entry->index == ++index, "log indexes are contiguous");
+    checkInvariant(entry->term >= previous, "terms do not decrease along the log");
     previous = entry->term;
   }
-  checkInvariant(synced_index_ <= lastIndex(), "nothing past the log's end is synced");
-  checkInvariant(base_index_ <= snapshotIndex(), "what left memory is in the snapshot");
-  checkInvariant(snapshotIndex() <= lastIndex(), "the log reaches the snapshot");
+  checkInvariant(synced_index_ <= lastIndex(), "the synced index does not exceed the last log index");
+  checkInvariant(base_index_ <= snapshotIndex(), "entries removed from memory are covered by the snapshot");
+  checkInvariant(snapshotIndex() <= lastIndex(), "the last log index is not before the snapshot");
 }
 
 }  // namespace cometstand::consensus
