--- a/tests/consensus/log_storage_test.cpp
+++ b/tests/consensus/log_storage_test.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kSegmentBytes = 512;
 constexpr Term kTerm = 2;
 
-/// A storage on a simulated disk, opened anew for each step as after a crash.
+/// A LogStorage on a simulated disk. reopen() recovers a new LogStorage from the disk, as after a crash.
 class StorageFixture {
  public:
   StorageFixture() {
@@ -48,7 +48,8 @@
     return state;
   }
 
-  /// @return the name of a segment file; 0 is the last one.
+  /// @param from_last position counted from the last segment, which is 0.
+  /// @return the name of a segment file.
   std::string segment(std::size_t from_last) {
     auto names = disk.list();
     std::erase_if(names, [](const std::string& name) { return !name.starts_with("log-"); });
@@ -81,7 +82,7 @@
   const auto before = fixture.disk.files();
   try {
     fixture.reopen();
-    FAIL("damage in " << file << " was not found");
+    FAIL("damage in " << file << " was not detected");
   } catch (const Error& error) {
     CHECK(error.kind() == ErrorKind::Corrupt);
     CHECK(error.message().find(file) != std::string::npos);
@@ -92,7 +93,7 @@
 
 }  // namespace
 
-TEST_CASE("entries and truncations are read back") {
+TEST_CASE("recovery restores appended entries and truncations") {
   StorageFixture fixture;
   fixture.append(1, 30);
   fixture.append(21, 25, kTerm + 1);
@@ -102,7 +103,7 @@
   CHECK(state.entries[20]->term == kTerm + 1);
 }
 
-TEST_CASE("an unfinished record at the end is dropped, all before it stays") {
+TEST_CASE("recovery discards an incomplete record at the end of the log and keeps the entries before it") {
   StorageFixture fixture;
   fixture.append(1, 10);
   const std::size_t cut = GENERATE(1, 30, 70);
@@ -112,43 +113,45 @@
   CHECK(fixture.reopen().entries.size() == 12);
 }
 
-TEST_CASE("damage that is no unfinished record is refused and changes nothing") {
+TEST_CASE("recovery fails on damage other than an incomplete last record and leaves the files unchanged") {
   StorageFixture fixture;
   fixture.append(1, 30);
   fixture.saveSnapshot(3, kTerm, true, SIZE_MAX);
   auto& files = fixture.disk.files();
-  SECTION("in the middle of the last segment") {
+  SECTION("changed bit in the middle of the last segment") {
     fixture.lastSegment()[40] ^= 1U;
     requireCorrupt(fixture, fixture.segment(0));
   }
-  SECTION("at the end of an earlier segment") {
+  SECTION("changed bit at the end of an earlier segment") {
     files.at(fixture.segment(1)).back() ^= 1U;
     requireCorrupt(fixture, fixture.segment(1));
   }
-  SECTION("a segment is missing") {
+  SECTION("missing segment") {
     const std::string name = fixture.segment(1);
     files.erase(name);
     requireCorrupt(fixture, name);
   }
-  SECTION("in the snapshot") {
+  SECTION("changed bit in the snapshot") {
     files.at("snapshot")[20] ^= 1U;
     requireCorrupt(fixture, "snapshot");
   }
-  SECTION("in the hard state") {
+  SECTION("changed bit in the hard state") {
     files.at("hard-state").back() ^= 1U;
     requireCorrupt(fixture, "hard-state");
   }
-  SECTION("the hard state is missing") {
+  SECTION("missing hard state") {
     files.erase("hard-state");
     requireCorrupt(fixture, "hard-state");
   }
 }
 
-TEST_CASE("a crash while a snapshot replaces a log that does not fit it loses nothing later") {
+TEST_CASE(
+    "entries appended after a crash during the removal of a log that does not match the snapshot are kept") {
   StorageFixture fixture;
   fixture.append(1, 20);
   const std::size_t synced_writes = GENERATE(1, 2, 3);
-  // The leader's snapshot: entry 11 has another term there. The removal of the segments is cut short.
+  // The snapshot comes from the leader, whose entry 11 has another term. The crash interrupts the removal of
+  // the segments.
   fixture.saveSnapshot(11, kTerm + 1, false, synced_writes);
   CHECK(fixture.reopen().entries.empty());
   fixture.append(12, 14, kTerm + 1);
@@ -157,20 +160,20 @@
   CHECK(state.entries.front()->index == 12);
 }
 
-TEST_CASE("a folder of another replica is refused") {
+TEST_CASE("recovery fails on the data folder of another replica") {
   StorageFixture fixture;
   wire::ReplicaT self;
   self.id = 2;
   Consensus consensus(SimulatedCluster::testOptions(), self, RandomSource(1));
   try {
     consensus.recover(fixture.disk, TimePoint());
-    FAIL("a foreign folder was taken");
+    FAIL("the data folder of another replica was accepted");
   } catch (const Error& error) {
     CHECK(error.kind() == ErrorKind::Mismatch);
   }
 }
 
-TEST_CASE("a snapshot is synced before it is acknowledged") {
+TEST_CASE("a follower acknowledges a snapshot only after syncing it") {
   SoloReplica replica;
   wire::SnapshotRequestT request;
   request.term = 1;
@@ -187,13 +190,13 @@
   CHECK(replica.takeSent(&wire::ConsensusBodyUnion::AsSnapshotReply).at(0).match_index == 50);
 }
 
-TEST_CASE("a follower that is too far behind gets a snapshot") {
+TEST_CASE("a follower that is too far behind receives a snapshot") {
   SimulatedCluster cluster(3, 9);
   ReplicaId leader = cluster.waitForLeader();
   REQUIRE(cluster.commitEverywhere(cluster.ids()));
   ReplicaId behind = leader % 3 + 1;
-  SECTION("with a log that fits") { cluster.isolate(behind); }
-  SECTION("with entries of its own that no one else has") {
+  SECTION("whose log matches the leader's") { cluster.isolate(behind); }
+  SECTION("whose log has uncommitted entries that no other replica has") {
     behind = leader;
     cluster.isolate(behind);
     for (int i = 0; i < 200; ++i) cluster.propose(behind, 200);
--- a/tests/consensus/membership_test.cpp
+++ b/tests/consensus/membership_test.cpp
@@ -19,7 +19,7 @@
   return result;
 }
 
-/// Adds an empty replica as a learner and waits until it has the log.
+/// Starts an empty replica, adds it as a learner and waits until it has applied the log.
 void addLearner(SimulatedCluster& cluster, ReplicaId leader, ReplicaId id) {
   cluster.start(id);
   cluster.change(leader, MembershipChangeKind::AddLearner, id);
@@ -27,19 +27,20 @@
   cluster.runFor(milliseconds(200));
 }
 
-/// Runs until the membership of exactly these voters is committed. @return whether it was.
-bool waitForVoters(SimulatedCluster& cluster, const std::vector<ReplicaId>& wanted) {
+/// Runs until all listed replicas have committed a membership with exactly these voters.
+/// @return false on timeout.
+bool waitForVoters(SimulatedCluster& cluster, const std::vector<ReplicaId>& expected_voters) {
   return cluster.runUntil([&] {
-    return std::all_of(wanted.begin(), wanted.end(), [&](ReplicaId id) {
+    return std::all_of(expected_voters.begin(), expected_voters.end(), [&](ReplicaId id) {
       const auto& consensus = cluster.consensus(id);
-      return voters(consensus) == wanted && consensus.commitIndex() == consensus.lastIndex();
+      return voters(consensus) == expected_voters && consensus.commitIndex() == consensus.lastIndex();
     });
   });
 }
 
 }  // namespace
 
-TEST_CASE("a learner gets the log and does not count for the quorum") {
+TEST_CASE("a learner receives the log and does not count towards the quorum") {
   SimulatedCluster cluster(3, 1);
   const ReplicaId leader = cluster.waitForLeader();
   addLearner(cluster, leader, 4);
@@ -53,10 +54,10 @@
   CHECK(cluster.at(4).leadership.role == Role::Follower);
 }
 
-// The users' bench, rehearsal/days/wipe_while_cut.toml on wn-mesh: a store that had become a learner was cut
-// off, still said that it hears its leader, and the nodes that take their configurations from it missed
-// changes.
-TEST_CASE("a learner that hears nothing of its leader for a while knows none, until it hears one again") {
+// Guards against a learner that keeps reporting its last known leader while it is partitioned from it. In
+// rehearsal/days/wipe_while_cut.toml, a store that had become a learner did so, and the nodes that received
+// their configurations from it missed changes.
+TEST_CASE("a partitioned learner reports no leader until it receives messages from a leader again") {
   SimulatedCluster cluster(3, 1);
   const ReplicaId leader = cluster.waitForLeader();
   addLearner(cluster, leader, 4);
@@ -70,7 +71,7 @@
   CHECK(cluster.consensus(4).leadership().term == cluster.consensus(leader).leadership().term);
 }
 
-TEST_CASE("a learner replaces a voter only once it caught up") {
+TEST_CASE("a learner can replace a voter only after it has caught up") {
   SimulatedCluster cluster(3, 2);
   const ReplicaId leader = cluster.waitForLeader();
   cluster.start(4);
@@ -87,7 +88,7 @@
   }
 }
 
-TEST_CASE("after a repair the loss of a second machine costs nothing") {
+TEST_CASE("after a lost voter is replaced, the cluster tolerates the loss of a second one") {
   SimulatedCluster cluster(3, 3);
   ReplicaId leader = cluster.waitForLeader();
   REQUIRE(cluster.commitEverywhere(cluster.ids()));
@@ -97,9 +98,9 @@
   cluster.at(lost).disk.lose();
   addLearner(cluster, leader, 4);
   cluster.change(leader, MembershipChangeKind::ReplaceVoter, 4, lost);
-  std::vector<ReplicaId> wanted{leader, second, 4};
-  std::sort(wanted.begin(), wanted.end());
-  REQUIRE(waitForVoters(cluster, wanted));
+  std::vector<ReplicaId> expected_voters{leader, second, 4};
+  std::sort(expected_voters.begin(), expected_voters.end());
+  REQUIRE(waitForVoters(cluster, expected_voters));
   const ReplicaId next = GENERATE(0, 1) == 0 ? leader : second;
   cluster.crash(next);
   cluster.at(next).disk.lose();
@@ -108,7 +109,7 @@
   CHECK(cluster.commitEverywhere({survivor, 4}));
 }
 
-TEST_CASE("a replacement goes on under the next leader") {
+TEST_CASE("the next leader completes the replacement of a voter") {
   SimulatedCluster cluster(5, 4);
   const ReplicaId leader = cluster.waitForLeader();
   const ReplicaId lost = leader % 5 + 1;
@@ -117,22 +118,22 @@
   addLearner(cluster, leader, 6);
   const LogIndex promotion = cluster.change(leader, MembershipChangeKind::ReplaceVoter, 6, lost);
   REQUIRE(cluster.runUntil([&] {
-    const auto has_it = [&](ReplicaId id) {
+    const auto has_promotion = [&](ReplicaId id) {
       return cluster.isUp(id) && cluster.consensus(id).lastIndex() >= promotion;
     };
     const auto ids = cluster.ids();
-    return std::count_if(ids.begin(), ids.end(), has_it) >= 5;
+    return std::count_if(ids.begin(), ids.end(), has_promotion) >= 5;
   }));
   REQUIRE(cluster.consensus(leader).lastIndex() == promotion);
   cluster.crash(leader);
   cluster.waitForLeader();
   cluster.start(leader);
-  std::vector<ReplicaId> wanted{1, 2, 3, 4, 5, 6};
-  std::erase(wanted, lost);
-  CHECK(waitForVoters(cluster, wanted));
+  std::vector<ReplicaId> expected_voters{1, 2, 3, 4, 5, 6};
+  std::erase(expected_voters, lost);
+  CHECK(waitForVoters(cluster, expected_voters));
 }
 
-TEST_CASE("a leader that is removed hands over") {
+TEST_CASE("another leader is elected after the leader is removed from the membership") {
   SimulatedCluster cluster(3, 5);
   const ReplicaId leader = cluster.waitForLeader();
   cluster.change(leader, MembershipChangeKind::RemoveReplica, leader);
@@ -142,27 +143,27 @@
   CHECK(cluster.at(leader).leadership.role != Role::Leader);
 }
 
-TEST_CASE("one membership change runs at a time") {
+TEST_CASE("a membership change is rejected while another one is in progress") {
   SimulatedCluster cluster(3, 6);
   const ReplicaId leader = cluster.waitForLeader();
   REQUIRE(cluster.commitEverywhere(cluster.ids()));
   cluster.change(leader, MembershipChangeKind::AddLearner, 4);
   try {
     cluster.change(leader, MembershipChangeKind::AddLearner, 5);
-    FAIL("two changes ran at once");
+    FAIL("a second concurrent membership change was accepted");
   } catch (const Error& error) {
     CHECK(error.kind() == ErrorKind::Conflict);
   }
 }
 
-TEST_CASE("a new leader changes the membership only once it committed an entry of its term") {
+TEST_CASE("a new leader rejects membership changes until it has committed an entry of its term") {
   SoloReplica replica;
   replica.becomeLeader();
   MembershipChange change;
   change.replica.id = 4;
   try {
     replica->changeMembership(change, replica.now);
-    FAIL("a change of an earlier leader may still be running");
+    FAIL("a membership change was accepted while one of an earlier leader may be in progress");
   } catch (const Error& error) {
     CHECK(error.kind() == ErrorKind::Unavailable);
   }
@@ -170,7 +171,7 @@
   CHECK(replica->changeMembership(change, replica.now) == 3);
 }
 
-TEST_CASE("votes and acknowledgements from another data folder than the voter's do not count") {
+TEST_CASE("votes and acknowledgements with an incarnation other than the voter's are ignored") {
   SoloReplica replica;
   SECTION("votes") {
     replica.timeOut();
@@ -187,7 +188,7 @@
   }
 }
 
-TEST_CASE("a replica whose folder is empty takes no part under its old id") {
+TEST_CASE("a replica that restarts with an empty data folder under its old id does not participate") {
   SimulatedCluster cluster(3, 7);
   const ReplicaId leader = cluster.waitForLeader();
   REQUIRE(cluster.commitEverywhere(cluster.ids()));
@@ -206,7 +207,7 @@
   CHECK(cluster.consensus(lost).leadership().role == Role::Joining);
 }
 
-TEST_CASE("a replica whose disk failed takes no part any more") {
+TEST_CASE("a replica stops participating after a disk failure") {
   SimulatedCluster cluster(3, 8);
   const ReplicaId leader = cluster.waitForLeader();
   REQUIRE(cluster.commitEverywhere(cluster.ids()));
--- a/tests/consensus/simulated_cluster.cpp
+++ b/tests/consensus/simulated_cluster.cpp
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-std::uint64_t mix(std::uint64_t state, const wire::LogEntryT& entry) {
+std::uint64_t hashEntry(std::uint64_t state, const wire::LogEntryT& entry) {
   constexpr std::uint64_t kPrime = 1099511628211ULL;
   state = (state ^ entry.index) * kPrime;
   state = (state ^ entry.term) * kPrime;
@@ -23,7 +23,7 @@
   return bytes;
 }
 
-wire::ReplicaT describe(ReplicaId id) {
+wire::ReplicaT makeReplica(ReplicaId id) {
   wire::ReplicaT replica;
   replica.id = id;
   return replica;
@@ -45,13 +45,14 @@
     : options_(options), random_(seed) {
   wire::MembershipT membership;
   for (ReplicaId id = 1; id <= voters; ++id) {
-    membership.voters.push_back(std::make_shared<wire::ReplicaT>(describe(id)));
+    membership.voters.push_back(std::make_shared<wire::ReplicaT>(makeReplica(id)));
   }
   for (ReplicaId id = 1; id <= voters; ++id) {
     start(id);
     consensus(id).bootstrap(membership, now_);
-    collect(id);
-    // A folder that was not synced counts as empty: the replica would have to be bootstrapped again.
+    processOutput(id);
+    // Sync the bootstrap now: a crash before the sync would leave the data folder empty, and the replica
+    // would have to be bootstrapped again.
     while (!at(id).disk.isIdle()) consensus(id).onFileWritten(at(id).disk.finishNext(), now_);
   }
 }
@@ -59,16 +60,16 @@
 void SimulatedCluster::start(ReplicaId id) {
   auto& replica = replicas_[id];
   if (!replica) replica = std::make_unique<SimulatedReplica>();
-  ++replica->starts;
+  ++replica->start_count;
   replica->applied_index = 0;
   replica->state = 0;
   replica->leadership = {};
   replica->write_is_scheduled = false;
-  auto fresh =
-      std::make_unique<Consensus>(options_, describe(id), RandomSource(random_.uniform(0, UINT64_MAX)));
-  fresh->recover(replica->disk, now_);
-  replica->consensus = std::move(fresh);
-  collect(id);
+  auto new_consensus =
+      std::make_unique<Consensus>(options_, makeReplica(id), RandomSource(random_.uniform(0, UINT64_MAX)));
+  new_consensus->recover(replica->disk, now_);
+  replica->consensus = std::move(new_consensus);
+  processOutput(id);
 }
 
 void SimulatedCluster::crash(ReplicaId id) {
@@ -84,7 +85,7 @@
 
 void SimulatedCluster::failDisk(ReplicaId id) {
   consensus(id).onFileFailed(runtime::WriteId(1), "no space left on device", now_);
-  collect(id);
+  processOutput(id);
 }
 
 void SimulatedCluster::isolate(ReplicaId id) {
@@ -121,13 +122,13 @@
   runUntil([&] {
     for (const auto& [id, replica] : replicas_) {
       if (id == other_than || !replica->consensus || replica->leadership.role != Role::Leader) continue;
-      std::size_t following = 0;
+      std::size_t followers = 0;
       for (const auto& voter : replica->consensus->membership().voters) {
         const auto& other = *replicas_.at(voter->id);
-        following += other.leadership.leader == id && other.leadership.term == replica->leadership.term;
+        followers += other.leadership.leader == id && other.leadership.term == replica->leadership.term;
       }
-      const bool is_settled = replica->consensus->commitIndex() == replica->consensus->lastIndex();
-      if (is_settled && following >= quorumSize(replica->consensus->membership())) leader = id;
+      const bool has_committed_log = replica->consensus->commitIndex() == replica->consensus->lastIndex();
+      if (has_committed_log && followers >= quorumSize(replica->consensus->membership())) leader = id;
     }
     return leader != 0;
   });
@@ -135,7 +136,8 @@
 }
 
 bool SimulatedCluster::step(TimePoint limit) {
-  // The earliest of the next event and the timers; a frozen replica's timer waits for its end.
+  // Select the earliest of the next event and all timers. A suspended replica's timer expires when it
+  // resumes.
   TimePoint next = events_.empty() ? TimePoint::max() : events_.begin()->first;
   ReplicaId timer = 0;
   for (const auto& [id, replica] : replicas_) {
@@ -149,25 +151,26 @@
   now_ = std::max(now_, next);
   if (timer != 0) {
     consensus(timer).onTimer(now_);
-    collect(timer);
+    processOutput(timer);
     return true;
   }
   const Event event = std::move(events_.begin()->second);
   events_.erase(events_.begin());
-  handle(event);
+  handleEvent(event);
   return true;
 }
 
-void SimulatedCluster::handle(const Event& event) {
+void SimulatedCluster::handleEvent(const Event& event) {
   SimulatedReplica& replica = at(event.replica);
-  const bool is_gone = !replica.consensus || (event.starts != 0 && event.starts != replica.starts);
-  if (is_gone) return;
+  const bool is_stale =
+      !replica.consensus || (event.start_count != 0 && event.start_count != replica.start_count);
+  if (is_stale) return;
   if (now_ < replica.frozen_until) {
     events_.emplace(replica.frozen_until, event);
     return;
   }
   deliver(replica, event);
-  collect(event.replica);
+  processOutput(event.replica);
 }
 
 void SimulatedCluster::deliver(SimulatedReplica& replica, const Event& event) {
@@ -177,7 +180,7 @@
   replica.consensus->onFileWritten(replica.disk.finishNext(), now_);
 }
 
-void SimulatedCluster::collect(ReplicaId id) {
+void SimulatedCluster::processOutput(ReplicaId id) {
   SimulatedReplica& replica = at(id);
   Output output = replica.consensus->takeOutput();
   replica.consensus->checkInvariants();
@@ -203,7 +206,7 @@
 }
 
 void SimulatedCluster::apply(SimulatedReplica& replica, const wire::LogEntryT& entry) {
-  replica.state = mix(replica.state, entry);
+  replica.state = hashEntry(replica.state, entry);
   replica.applied_index = entry.index;
   checker_.onApplied(entry, replica.state, now_);
 }
@@ -211,12 +214,12 @@
 void SimulatedCluster::send(const wire::ConsensusMessageT& message) {
   checker_.onMessage(message);
   if (on_send) on_send(message);
-  if (!replicas_.contains(message.to) || cuts_.contains({message.from, message.to})) return;
+  if (!replicas_.contains(message.to) || blocked_links_.contains({message.from, message.to})) return;
   const int copies = random_.chance(faults.duplication) ? 2 : 1;
   for (int copy = 0; copy < copies; ++copy) {
     if (random_.chance(faults.loss)) continue;
-    const auto longest = random_.chance(faults.long_delay) ? milliseconds(500) : milliseconds(4);
-    schedule(random_.uniform(Duration(200), longest), {message.to, 0, message});
+    const auto max_delay = random_.chance(faults.long_delay) ? milliseconds(500) : milliseconds(4);
+    schedule(random_.uniform(Duration(200), max_delay), {message.to, 0, message});
   }
 }
 
@@ -228,12 +231,12 @@
   SimulatedReplica& replica = at(id);
   if (replica.write_is_scheduled || replica.disk.held || replica.disk.isIdle()) return;
   replica.write_is_scheduled = true;
-  schedule(random_.uniform(Duration(100), milliseconds(8)), {id, replica.starts, std::nullopt});
+  schedule(random_.uniform(Duration(100), milliseconds(8)), {id, replica.start_count, std::nullopt});
 }
 
 std::optional<LogIndex> SimulatedCluster::propose(ReplicaId id, std::size_t bytes) {
   const auto index = consensus(id).propose(toBytes(next_command_++, bytes), now_);
-  collect(id);
+  processOutput(id);
   return index;
 }
 
@@ -241,23 +244,23 @@
   const ReadTicket ticket{next_ticket_++};
   checker_.onReadRequested(ticket);
   consensus(id).requestRead(ticket, now_);
-  collect(id);
+  processOutput(id);
   return ticket;
 }
 
 void SimulatedCluster::transfer(ReplicaId from, ReplicaId to) {
   consensus(from).transferLeadership(to, now_);
-  collect(from);
+  processOutput(from);
 }
 
 LogIndex SimulatedCluster::change(ReplicaId leader, MembershipChangeKind kind, ReplicaId id,
                                   ReplicaId replaced) {
   MembershipChange change;
   change.kind = kind;
-  change.replica = describe(id);
+  change.replica = makeReplica(id);
   change.replaced = replaced;
   const LogIndex index = consensus(leader).changeMembership(change, now_);
-  collect(leader);
+  processOutput(leader);
   return index;
 }
 
@@ -265,25 +268,25 @@
   SimulatedReplica& replica = at(id);
   if (replica.applied_index == 0) return;
   replica.consensus->compact(replica.applied_index, toBytes(replica.state));
-  collect(id);
+  processOutput(id);
 }
 
 bool SimulatedCluster::commitMany(ReplicaId leader, std::size_t count) {
-  constexpr std::size_t kBytes = 200;
+  constexpr std::size_t kEntryBytes = 200;
   const LogIndex target = consensus(leader).lastIndex() + count;
-  for (std::size_t i = 0; i < count; ++i) propose(leader, kBytes);
+  for (std::size_t i = 0; i < count; ++i) propose(leader, kEntryBytes);
   return runUntil([&] { return at(leader).applied_index >= target; });
 }
 
 bool SimulatedCluster::commitEverywhere(const std::vector<ReplicaId>& replicas) {
-  constexpr int kTries = 30;
-  for (int attempt = 0; attempt < kTries; ++attempt) {
+  constexpr int kMaxAttempts = 30;
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
     std::optional<LogIndex> index;
     for (const ReplicaId id : replicas) {
       if (isUp(id) && at(id).leadership.role == Role::Leader) index = propose(id);
     }
     const auto has_applied = [&](ReplicaId id) { return isUp(id) && at(id).applied_index >= *index; };
-    // A proposal of a leader that is replaced may be lost: then the next one is tried.
+    // An entry may be lost if its leader is replaced; the next attempt then proposes another one.
     const bool is_applied =
         runUntil([&] { return index && std::all_of(replicas.begin(), replicas.end(), has_applied); },
                  std::chrono::seconds(2));
--- a/tests/consensus/simulated_cluster.h
+++ b/tests/consensus/simulated_cluster.h
@@ -17,21 +17,21 @@
 
 namespace cometstand::consensus {
 
-/// Chances of what the simulated network does to one message.
+/// Probabilities of faults that the simulated network applies to each message.
 struct NetworkFaults {
   double loss = 0;
   double duplication = 0;
-  /// Chance of a delay of up to half a second instead of a few milliseconds, which reorders messages.
+  /// Probability of a delay of up to 500 ms instead of up to 4 ms. Long delays reorder messages.
   double long_delay = 0;
 };
 
-/// One process with its disk and a state machine that hashes what it applies.
+/// A replica process with its disk and a state machine whose state is a hash of the applied entries.
 struct SimulatedReplica {
   SimulatedDisk disk;
-  /// Empty while the process is down.
+  /// Null while the process is down.
   std::unique_ptr<Consensus> consensus;
-  /// Rises with each start, so that events of an earlier process are dropped.
-  std::uint64_t starts = 0;
+  /// Number of process starts. Events that carry an earlier number are discarded.
+  std::uint64_t start_count = 0;
   bool write_is_scheduled = false;
   TimePoint frozen_until;
   LogIndex applied_index = 0;
@@ -40,21 +40,24 @@
   std::map<ReadTicket, ReadResult> reads;
 };
 
-/// Replicas over a simulated network and simulated disks, in simulated time. Equal seeds give equal runs.
-/// After every step ClusterChecker and Consensus::checkInvariants() are asked; a violation throws
-/// std::logic_error.
+/// Replicas with a simulated network, simulated disks and simulated time. Runs with equal seeds are
+/// identical. After every step, ClusterChecker and Consensus::checkInvariants() check the state; a violation
+/// throws std::logic_error.
 class SimulatedCluster {
  public:
-  /// Bootstraps voters 1 to `voters`.
+  /// Bootstraps a cluster whose voters have the ids 1 to `voters`.
   SimulatedCluster(std::size_t voters, std::uint64_t seed, ConsensusOptions options = testOptions());
 
-  /// Small log segments and snapshots, so that all paths are taken.
+  /// Options with small log segments and frequent snapshots, so that short tests cover segment and snapshot
+  /// handling.
   static ConsensusOptions testOptions();
 
   void runFor(Duration duration);
-  /// @return whether the condition held within the limit of simulated time.
+  /// @return true if the condition became true within the limit of simulated time.
   bool runUntil(const std::function<bool()>& condition, Duration limit = std::chrono::seconds(60));
-  /// @return the leader that a quorum follows, once it has committed its log; 0 if the limit passes.
+  /// Runs until a quorum follows a leader that has committed its whole log.
+  /// @param other_than id of a replica that is not accepted as the leader.
+  /// @return the id of the leader, or 0 on timeout.
   ReplicaId waitForLeader(ReplicaId other_than = 0);
 
   SimulatedReplica& at(ReplicaId id) { return *replicas_.at(id); }
@@ -65,48 +68,55 @@
   ClusterChecker& checker() { return checker_; }
   RandomSource& random() { return random_; }
 
-  /// Starts a process on the disk that is there; adds the replica if it is new. Errors of recover() pass.
+  /// Starts a process with the replica's existing disk, or adds a replica with an empty disk. Errors of
+  /// recover() are propagated.
   void start(ReplicaId id);
-  /// Kills the process; what was not synced is lost.
+  /// Kills the process. File operations that were not synced are lost, but SimulatedDisk::crash() may apply
+  /// the oldest one.
   void crash(ReplicaId id);
-  /// The process stands still; messages and timers wait for it.
+  /// Suspends the process for the duration. Its messages and timers are delayed until it resumes.
   void freeze(ReplicaId id, Duration duration) { at(id).frozen_until = now_ + duration; }
-  /// While held, no file operation of the replica finishes.
+  /// @param held if true, no file operation of the replica finishes until the disk is released.
   void holdDisk(ReplicaId id, bool held);
+  /// Reports a failed file operation to the replica.
   void failDisk(ReplicaId id);
-  void cut(ReplicaId from, ReplicaId to) { cuts_.insert({from, to}); }
-  /// Cuts all links of one replica, both ways.
+  /// Blocks messages in one direction until heal().
+  void cut(ReplicaId from, ReplicaId to) { blocked_links_.insert({from, to}); }
+  /// Blocks messages between the replica and all others in both directions.
   void isolate(ReplicaId id);
-  void heal() { cuts_.clear(); }
+  void heal() { blocked_links_.clear(); }
 
-  /// Proposes at this replica. @return the index, if it is the leader.
+  /// Proposes a command at the replica.
+  /// @return the log index, or nothing if the replica is not the leader.
   std::optional<LogIndex> propose(ReplicaId id, std::size_t bytes = 24);
   ReadTicket requestRead(ReplicaId id);
   void transfer(ReplicaId from, ReplicaId to);
   LogIndex change(ReplicaId leader, MembershipChangeKind kind, ReplicaId id, ReplicaId replaced = 0);
   void compact(ReplicaId id);
-  /// Proposes this many entries at the leader. @return whether it applied them.
+  /// Proposes `count` entries at the leader.
+  /// @return true if the leader applied them.
   bool commitMany(ReplicaId leader, std::size_t count);
-  /// Proposes at the leader until an entry is applied by every listed replica.
+  /// Proposes entries at the leader until one of them is applied by all listed replicas.
+  /// @return false if no attempt succeeded.
   bool commitEverywhere(const std::vector<ReplicaId>& replicas);
 
   NetworkFaults faults;
-  /// Sees every message sent; for tests.
+  /// Called for every message that a replica sends, before faults are applied.
   std::function<void(const wire::ConsensusMessageT&)> on_send;
 
  private:
   struct Event {
     ReplicaId replica = 0;
-    /// The process that the event is for.
-    std::uint64_t starts = 0;
-    /// Nothing: the replica's oldest file operation finishes.
+    /// Value of SimulatedReplica::start_count of the process that the event is for; 0 for any process.
+    std::uint64_t start_count = 0;
+    /// The message to deliver; if empty, the replica's oldest file operation finishes.
     std::optional<wire::ConsensusMessageT> message;
   };
 
   bool step(TimePoint limit);
-  void handle(const Event& event);
+  void handleEvent(const Event& event);
   void deliver(SimulatedReplica& replica, const Event& event);
-  void collect(ReplicaId id);
+  void processOutput(ReplicaId id);
   void send(const wire::ConsensusMessageT& message);
   void schedule(Duration delay, Event event);
   void scheduleWrite(ReplicaId id);
@@ -117,7 +127,7 @@
   TimePoint now_{std::chrono::hours(1)};
   std::map<ReplicaId, std::unique_ptr<SimulatedReplica>> replicas_;
   std::multimap<TimePoint, Event> events_;
-  std::set<std::pair<ReplicaId, ReplicaId>> cuts_;
+  std::set<std::pair<ReplicaId, ReplicaId>> blocked_links_;
   ClusterChecker checker_;
   std::uint64_t next_ticket_ = 1;
   std::uint64_t next_command_ = 1;
--- a/tests/consensus/simulated_disk.h
+++ b/tests/consensus/simulated_disk.h
@@ -12,8 +12,8 @@
 
 namespace cometstand::consensus {
 
-/// A data folder in memory. Operations wait in a queue until finishNext(); a crash loses those that wait,
-/// except that the first one may have reached the disk in whole or, if it appends, in part.
+/// An in-memory data folder. File operations are queued until finishNext(). A crash discards the queued
+/// operations, except that the oldest one may be applied: as a whole or, if it is an append, in part.
 class SimulatedDisk : public runtime::FileReader {
  public:
   std::optional<std::vector<std::uint8_t>> read(const std::string& file) const override {
@@ -31,7 +31,8 @@
   void enqueue(runtime::FileWrite write) { pending_.push_back(std::move(write)); }
   bool isIdle() const { return pending_.empty(); }
 
-  /// Carries out the oldest waiting operation.
+  /// Applies the oldest queued operation.
+  /// @return the id of the operation.
   runtime::WriteId finishNext() {
     const auto write = std::move(pending_.front());
     pending_.pop_front();
@@ -42,8 +43,8 @@
   void crash(RandomSource& random) {
     if (!pending_.empty() && random.chance(0.7)) {
       const auto& write = pending_.front();
-      const bool tears = write.mode == runtime::FileWriteMode::Append;
-      apply(write, tears ? random.uniform(0, write.bytes.size()) : write.bytes.size());
+      const bool can_be_torn = write.mode == runtime::FileWriteMode::Append;
+      apply(write, can_be_torn ? random.uniform(0, write.bytes.size()) : write.bytes.size());
     }
     pending_.clear();
   }
@@ -55,7 +56,7 @@
 
   std::map<std::string, std::vector<std::uint8_t>>& files() { return files_; }
 
-  /// While set, the simulation finishes no operation.
+  /// While true, the simulation finishes no file operation.
   bool held = false;
 
  private:
