--- a/src/store/evacuation_service.h
+++ b/src/store/evacuation_service.h
@@ -13,7 +13,7 @@
 enum class EvacuationAnswerKind : std::uint8_t {
   /// The order is committed, or the zone was already in the ordered state.
   Done,
-  /// The zone is not configured; nothing was changed.
+  /// The zone is not known; nothing was changed.
   UnknownZone,
   /// The order was not executed: send it to the replica at `leader`, if that is known.
   NotLeader,
--- a/src/store/node_hub.cpp
+++ b/src/store/node_hub.cpp
@@ -34,7 +34,7 @@
 /// Time for which an endpoint is kept after the link of its node was closed: after a short network failure
 /// the node reconnects.
 constexpr Duration kLostEndpointLease = std::chrono::seconds(2);
-/// Time for which a lost endpoint is kept: no request of its target is_in_progress for longer than the
+/// Time for which a lost endpoint is kept: no request of its target runs for longer than the
 /// maximum timeout of a route.
 constexpr Duration kLostEndpointRetention = std::chrono::milliseconds(mesh::kMaxTimeoutMs);
 
--- a/src/store/node_hub.h
+++ b/src/store/node_hub.h
@@ -54,7 +54,7 @@
     bool subscribed = false;
     std::uint64_t sent_revision = 0;
     TimePoint next_heartbeat_at;
-    /// Version of the list of stores that was sent last; 0 for empty.
+    /// Version of the list of stores that was sent last; 0 for none.
     std::uint64_t sent_store_list_version = 0;
     TimePoint store_list_sent_at;
   };
@@ -99,7 +99,7 @@
   std::map<std::string, Endpoint> endpoints_;
   std::map<std::string, LostEndpoint> lost_endpoints_;
   /// Records that have not been sent to the subscribed nodes yet, in the order in which they were received.
-  /// They are sent in batches, because after a start of the full_heartbeat fleet each of n nodes receives n
+  /// They are sent in batches, because after a start of the whole fleet each of n nodes receives n
   /// endpoints.
   std::vector<std::shared_ptr<wire::EndpointRecordT>> changed_endpoints_;
   /// The newest configuration and its predecessor.
