--- a/tests/rollout/process_network.h
+++ b/tests/rollout/process_network.h
@@ -17,78 +17,87 @@
 
 using ProcessId = std::size_t;
 
-/// Runs processes of any kind in one thread on a clock of its own, linked as they ask. Every message and
-/// write takes kDelay; equal runs give equal events.
+/// Deterministic simulation that runs processes of any kind in one thread on a simulated clock and opens the
+/// links that they request. Every message and every write takes kBaseDelay.
 class ProcessNetwork {
  public:
-  static constexpr Duration kDelay = std::chrono::milliseconds(1);
-  using Make = std::function<std::unique_ptr<runtime::ProcessCore>()>;
-  /// @return what a message takes besides kDelay; nothing if it is lost. Called in the order of sending.
-  using Way = std::function<std::optional<Duration>(ProcessId from, ProcessId to, const wire::EnvelopeT&)>;
+  static constexpr Duration kBaseDelay = std::chrono::milliseconds(1);
+  /// @return a new instance of the process that is not started yet.
+  using Factory = std::function<std::unique_ptr<runtime::ProcessCore>()>;
+  /// @return the delay of a message in addition to kBaseDelay; nothing if the message is lost. Called in the
+  /// order in which messages are sent.
+  using MessageDelay =
+      std::function<std::optional<Duration>(ProcessId from, ProcessId to, const wire::EnvelopeT&)>;
 
-  /// @param make the process, anew for each start. It is not started yet.
-  ProcessId add(runtime::Address address, Make make);
+  /// Adds a process without starting it.
+  /// @param factory called for each start of the process.
+  ProcessId add(runtime::Address address, Factory factory);
   void start(ProcessId id);
-  /// Ends the process without notice; its files stay.
+  /// Terminates the process abruptly; its files are kept.
   void crash(ProcessId id);
-  bool isRunning(ProcessId id) const { return nodes_.at(id).core != nullptr; }
-  runtime::ProcessCore& core(ProcessId id) { return *nodes_.at(id).core; }
+  bool isRunning(ProcessId id) const { return processes_.at(id).core != nullptr; }
+  runtime::ProcessCore& core(ProcessId id) { return *processes_.at(id).core; }
 
-  /// Messages between the process and all others are lost without notice while it is cut off.
+  /// Partitions the process from all others: messages in both directions are dropped silently until mend().
   void cut(ProcessId id) { cut_.insert(id); }
   void mend(ProcessId id) { cut_.erase(id); }
 
-  /// Ends the links between the two, as the kernel does where bytes were lost.
+  /// Closes the links between the two processes, as the kernel does after a loss of data.
   void resetLinks(ProcessId left, ProcessId right);
 
-  /// Messages take this way from now on; a link opens only where they are not lost.
-  void setWay(Way way) { way_ = std::move(way); }
+  /// Sets the delay of all messages sent from now on. A link opens only if the connection attempt, passed as
+  /// an empty message, is not lost.
+  void setWay(MessageDelay delay) { message_delay_ = std::move(delay); }
 
-  /// The machine of the process stands still for that time. What comes meanwhile waits, and is delivered
-  /// before any timer: the clock that the process reads runs on, but its timers have as much left as before.
+  /// Suspends the machine of the process for the given time. Events for the process are delayed until then
+  /// and delivered before any timer: its clock advances meanwhile, but the time left until its next timer
+  /// does not decrease.
   void suspend(ProcessId id, Duration time);
 
-  /// Calls the process from outside, as a server in the same process does; nothing happens if it is down.
-  /// @param action called later if the process is suspended.
+  /// Calls the process from outside, as a server in the same process does; has no effect if the process is
+  /// not running.
+  /// @param action called when the suspension ends if the process is suspended.
   void call(ProcessId id, const std::function<void()>& action);
-  /// Runs the action at that time.
+  /// Runs the action at the given time.
   void at(TimePoint time, std::function<void()> action);
   TimePoint now() const { return now_; }
   void runFor(Duration time);
 
  private:
-  struct End {
+  struct LinkEnd {
     ProcessId peer = 0;
     runtime::LinkId link{};
   };
-  struct Node {
+  struct Process {
     runtime::Address address;
-    Make make;
+    Factory factory;
     runtime::test::MemoryFiles files;
     std::unique_ptr<runtime::ProcessCore> core;
-    std::uint64_t life = 0;
+    /// Incremented by each crash, so that events for an earlier incarnation are dropped.
+    std::uint64_t incarnation = 0;
     TimePoint suspended_until;
-    /// No timer before; the next event puts that right.
-    TimePoint timers_from;
+    /// After a suspension: no timer fires before this time. Reset by the next event.
+    TimePoint no_timer_before;
     std::uint64_t next_incoming = runtime::kFirstIncomingLink;
-    std::map<runtime::LinkId, End> links;
+    std::map<runtime::LinkId, LinkEnd> links;
   };
 
-  void deliver(ProcessId id, std::uint64_t life, const std::function<void(runtime::ProcessCore&)>& event);
-  void carryOut(ProcessId id);
+  void deliver(ProcessId id, std::uint64_t incarnation,
+               const std::function<void(runtime::ProcessCore&)>& event);
+  void executeActions(ProcessId id);
   void write(ProcessId id, const runtime::FileWrite& order);
   void open(ProcessId id, const runtime::ConnectOrder& order);
   void send(ProcessId id, const runtime::OutgoingMessage& outgoing);
   void close(ProcessId id, runtime::LinkId link);
-  bool isSuspended(ProcessId id) const { return now_ < nodes_.at(id).suspended_until; }
-  TimePoint timerOf(const Node& node) const;
+  bool isSuspended(ProcessId id) const { return now_ < processes_.at(id).suspended_until; }
+  TimePoint nextTimerOf(const Process& process) const;
   bool isCut(ProcessId left, ProcessId right) const { return cut_.contains(left) || cut_.contains(right); }
-  void step(TimePoint end);
+  void runNextEvents(TimePoint end);
 
   TimePoint now_{std::chrono::hours(1)};
-  std::deque<Node> nodes_;
+  std::deque<Process> processes_;
   std::set<ProcessId> cut_;
-  Way way_ = [](ProcessId, ProcessId, const wire::EnvelopeT&) { return Duration::zero(); };
+  MessageDelay message_delay_ = [](ProcessId, ProcessId, const wire::EnvelopeT&) { return Duration::zero(); };
   std::map<std::pair<TimePoint, std::uint64_t>, std::function<void()>> events_;
   std::uint64_t next_event_ = 0;
 };
--- a/tests/rollout/rollout_mesh.cpp
+++ b/tests/rollout/rollout_mesh.cpp
@@ -9,15 +9,15 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::size_t kStores = 3;
-constexpr std::size_t kSidecars = 8;
-constexpr unsigned kSlots = 6;
-constexpr Duration kHeartbeat = milliseconds(1'500);
+constexpr std::size_t kStoreCount = 3;
+constexpr std::size_t kSidecarCount = 8;
+constexpr unsigned kSlotsPerTarget = 6;
+constexpr Duration kHeartbeatInterval = milliseconds(1'500);
 constexpr Duration kColdTime = seconds(2);
-/// Between two requests of one sidecar's callers, on average.
-constexpr Duration kCallInterval = milliseconds(20);
-constexpr std::size_t kBadAnswers = 50;
-constexpr double kThousand = 1'000;
+/// Mean time between two requests of the callers of one sidecar.
+constexpr Duration kMeanCallInterval = milliseconds(20);
+constexpr std::size_t kFaultyResponses = 50;
+constexpr double kPerMille = 1'000;
 
 wire::MeshConfigurationT makeConfiguration(Duration route_timeout) {
   wire::MeshConfigurationT configuration;
@@ -46,11 +46,11 @@
 }  // namespace
 
 RolloutMesh::RolloutMesh(std::uint64_t seed, Behaviour new_version)
-    : random_(seed), new_version_(std::move(new_version)), store_group_(network, random_, kStores) {
+    : random_(seed), new_version_(std::move(new_version)), store_group_(network, random_, kStoreCount) {
   store_group_.configure(makeConfiguration(new_version_.route_timeout));
-  for (std::size_t i = 0; i < kSidecars; ++i) old_sidecars.push_back(addSidecar("v1"));
+  for (std::size_t i = 0; i < kSidecarCount; ++i) old_sidecars.push_back(addSidecar("v1"));
   network.runFor(seconds(4));
-  watchState();
+  pollPhases();
 }
 
 ProcessId RolloutMesh::addSidecar(const std::string& version) {
@@ -68,9 +68,9 @@
     return std::make_unique<sidecar::SidecarCore>(options, random_.uniform(0, UINT64_MAX), machine, machine);
   });
   network.start(machine.id);
-  beat(machine, version == "v1" ? Duration::zero() : kColdTime);
-  keepBeating(machine);
-  keepCalling(machine);
+  sendHeartbeat(machine, version == "v1" ? Duration::zero() : kColdTime);
+  scheduleHeartbeats(machine);
+  scheduleCalls(machine);
   return machine.id;
 }
 
@@ -93,7 +93,7 @@
   ordered_at = network.now();
   network.runFor(milliseconds(100));
   if (!is_done) throw std::logic_error("the order was not acknowledged");
-  for (std::size_t i = 0; i < kSidecars; ++i) {
+  for (std::size_t i = 0; i < kSidecarCount; ++i) {
     network.at(network.now() + milliseconds(100 * i), [this] { new_sidecars.push_back(addSidecar("v2")); });
   }
 }
@@ -117,28 +117,28 @@
   return record == nullptr ? "" : record->reason;
 }
 
-void RolloutMesh::beat(Machine& machine, Duration cold) {
+void RolloutMesh::sendHeartbeat(Machine& machine, Duration cold_time) {
   network.call(machine.id, [&] {
     sidecar::Heartbeat heartbeat;
     heartbeat.incarnation.id = machine.instance;
     heartbeat.service = kService;
     heartbeat.version = machine.version;
-    heartbeat.slots = kSlots;
+    heartbeat.slots = kSlotsPerTarget;
     heartbeat.sequence = ++machine.sequence;
-    heartbeat.cold_remaining = cold;
+    heartbeat.cold_remaining = cold_time;
     sidecarAt(machine.id).onHeartbeat(heartbeat, network.now());
   });
 }
 
-void RolloutMesh::keepBeating(Machine& machine) {
-  network.at(network.now() + kHeartbeat, [this, &machine] {
-    beat(machine, Duration::zero());
-    keepBeating(machine);
+void RolloutMesh::scheduleHeartbeats(Machine& machine) {
+  network.at(network.now() + kHeartbeatInterval, [this, &machine] {
+    sendHeartbeat(machine, Duration::zero());
+    scheduleHeartbeats(machine);
   });
 }
 
-void RolloutMesh::keepCalling(Machine& machine) {
-  const Duration pause = random_.uniform(Duration::zero(), 2 * kCallInterval);
+void RolloutMesh::scheduleCalls(Machine& machine) {
+  const Duration pause = random_.uniform(Duration::zero(), 2 * kMeanCallInterval);
   network.at(network.now() + pause, [this, &machine] {
     network.call(machine.id, [&] {
       sidecar::Call call;
@@ -148,69 +148,70 @@
       call.request.request_id = std::to_string(next_call_);
       sidecarAt(machine.id).onCall(sidecar::CallId{next_call_++}, std::move(call), network.now());
     });
-    keepCalling(machine);
+    scheduleCalls(machine);
   });
 }
 
-/// Looks at every store: what any of them would tell an operator counts as said.
-void RolloutMesh::watchState() {
+/// Polls every running store: a phase counts as reported as soon as any of them would report it to an
+/// operator.
+void RolloutMesh::pollPhases() {
   for (const auto id : stores()) {
     if (!network.isRunning(id)) continue;
     const auto record = storeAt(id).stateMachine().rollouts().find(kService);
-    if (record != nullptr) noteState(record->phase);
+    if (record != nullptr) recordPhase(record->phase);
   }
-  network.at(network.now() + milliseconds(1), [this] { watchState(); });
+  network.at(network.now() + milliseconds(1), [this] { pollPhases(); });
 }
 
-void RolloutMesh::noteState(wire::RolloutPhase phase) {
+void RolloutMesh::recordPhase(wire::RolloutPhase phase) {
   if (phase == wire::RolloutPhase::RolledBack) rolled_back_ = true;
   if (phase != wire::RolloutPhase::Succeeded || std::exchange(succeeded_, true)) return;
   for (const auto& machine : machines_) {
-    if (machine.version == "v1" && !cut_off.contains(machine.id))
-      observed.at_old_after_success += machine.running.size();
+    if (machine.version == "v1" && !partitioned.contains(machine.id))
+      observed.old_version_requests_after_success += machine.running.size();
   }
 }
 
-void RolloutMesh::noteBegun(const Machine& machine) {
-  if (cut_off.contains(machine.id)) return;
+void RolloutMesh::recordRunStart(const Machine& machine) {
+  if (partitioned.contains(machine.id)) return;
   const TimePoint now = network.now();
   const bool is_new = machine.version == "v2";
   if (duration != Duration::zero() && now <= ordered_at + duration) {
-    ++observed.all_since_order;
-    if (is_new) ++observed.new_since_order;
+    ++observed.requests_since_order;
+    if (is_new) ++observed.new_version_requests_since_order;
   }
-  if (is_new) observed.last_new = now;
-  if (succeeded_ && !is_new) ++observed.at_old_after_success;
-  if (rolled_back_ && is_new) ++observed.at_new_after_rollback;
+  if (is_new) observed.last_new_version_request_at = now;
+  if (succeeded_ && !is_new) ++observed.old_version_requests_after_success;
+  if (rolled_back_ && is_new) ++observed.new_version_requests_after_rollback;
 }
 
-bool RolloutMesh::isPoor(const Machine& machine, const wire::ForwardRequestT& request) const {
-  if (machine.version == "v1" || !new_version_.isBad()) return false;
-  const bool is_time = network.now() >= ordered_at + new_version_.bad_after;
-  const bool is_load = machine.running.size() >= new_version_.bad_from_load;
-  const bool is_route =
-      new_version_.bad_route.empty() || request.target.starts_with("/" + new_version_.bad_route + "/");
-  return is_time && is_load && is_route;
+bool RolloutMesh::isFaultyRun(const Machine& machine, const wire::ForwardRequestT& request) const {
+  if (machine.version == "v1" || !new_version_.isFaulty()) return false;
+  const bool matches_time = network.now() >= ordered_at + new_version_.fault_delay;
+  const bool matches_load = machine.running.size() >= new_version_.fault_min_load;
+  const bool matches_route =
+      new_version_.fault_route.empty() || request.target.starts_with("/" + new_version_.fault_route + "/");
+  return matches_time && matches_load && matches_route;
 }
 
 void RolloutMesh::Machine::run(sidecar::RunOrder order) {
   running.insert(order.id);
-  mesh->noteBegun(*this);
-  const bool is_poor = mesh->isPoor(*this, *order.request);
-  const double factor = (is_poor ? mesh->new_version_.slowness : 1) *
-                        static_cast<double>(mesh->random_.uniform(500, 1'500)) / kThousand;
-  const bool fails =
-      is_poor && static_cast<double>(mesh->random_.uniform(0, 999)) / kThousand < mesh->new_version_.failing;
+  mesh->recordRunStart(*this);
+  const bool is_faulty = mesh->isFaultyRun(*this, *order.request);
+  const double factor = (is_faulty ? mesh->new_version_.run_time_factor : 1) *
+                        static_cast<double>(mesh->random_.uniform(500, 1'500)) / kPerMille;
+  const bool fails = is_faulty && static_cast<double>(mesh->random_.uniform(0, 999)) / kPerMille <
+                                      mesh->new_version_.failure_share;
   const auto& behaviour = mesh->new_version_;
-  const bool may_be_long = behaviour.long_run_every != 0 && mesh->long_runs_at.value_or(id) == id;
-  const bool is_long = may_be_long && mesh->random_.uniform(1, behaviour.long_run_every) == 1;
+  const bool may_run_long = behaviour.long_run_every != 0 && mesh->long_runs_at.value_or(id) == id;
+  const bool is_long = may_run_long && mesh->random_.uniform(1, behaviour.long_run_every) == 1;
   const auto time =
       is_long ? behaviour.long_run_time : std::chrono::duration_cast<Duration>(behaviour.run_time * factor);
-  mesh->network.at(mesh->network.now() + time, [this, run = order.id, fails, is_poor] {
+  mesh->network.at(mesh->network.now() + time, [this, run = order.id, fails, is_faulty] {
     if (!running.contains(run)) return;
-    if (is_poor && (fails || mesh->new_version_.slowness > 1) &&
-        ++mesh->observed.bad_answers == kBadAnswers) {
-      mesh->observed.fiftieth_bad = mesh->network.now();
+    if (is_faulty && (fails || mesh->new_version_.run_time_factor > 1) &&
+        ++mesh->observed.faulty_responses == kFaultyResponses) {
+      mesh->observed.fiftieth_faulty_response_at = mesh->network.now();
     }
     mesh->finish(*this, run, fails);
   });
--- a/tests/rollout/rollout_mesh.h
+++ b/tests/rollout/rollout_mesh.h
@@ -18,60 +18,61 @@
 
 inline constexpr const char* kService = "desk";
 
-/// How the targets of a version behave.
+/// Simulated behaviour of the targets of a version, including its faults.
 struct Behaviour {
   Duration run_time = std::chrono::milliseconds(40);
-  /// Share of the answers that fail.
-  double failing = 0;
-  /// The run time is so many times as long.
-  double slowness = 1;
-  /// Of all versions, one run in so many takes `long_run_time`; 0 for none.
+  /// Share of the responses that are failures.
+  double failure_share = 0;
+  /// Factor by which the run time is longer.
+  double run_time_factor = 1;
+  /// At targets of all versions, an average of one run in this number takes `long_run_time`; 0 for none.
   std::uint64_t long_run_every = 0;
   Duration long_run_time{};
-  /// Of both routes.
+  /// Timeout of both routes.
   Duration route_timeout = std::chrono::seconds(2);
-  /// Failing and slow only from this time after the order on.
-  Duration bad_after = Duration::zero();
-  /// Failing and slow only with so many requests at the target.
-  std::size_t bad_from_load = 0;
-  /// Failing and slow on this route only; empty for all.
-  std::string bad_route;
-
-  bool isBad() const { return failing > 0 || slowness > 1; }
+  /// Time after the order from which on the version is faulty (fails or is slow).
+  Duration fault_delay = Duration::zero();
+  /// Minimum number of requests at a target for the version to be faulty.
+  std::size_t fault_min_load = 0;
+  /// The only route on which the version is faulty; empty for all routes.
+  std::string fault_route;
+
+  bool isFaulty() const { return failure_share > 0 || run_time_factor > 1; }
 };
 
-/// What the targets saw, against which the promises are checked.
+/// What the targets have observed; the guarantees of a roll-out are checked against it.
 struct Observed {
-  std::size_t all_since_order = 0;
-  std::size_t new_since_order = 0;
-  std::size_t bad_answers = 0;
-  /// When the 50th bad answer came.
-  std::optional<TimePoint> fiftieth_bad;
-  /// The last request that reached the new version.
-  TimePoint last_new;
-  /// Requests that began at an old target after the roll-out was said to have succeeded, or that were there
-  /// at that moment.
-  std::size_t at_old_after_success = 0;
-  /// Requests that began at the new version after it was said to be rolled back.
-  std::size_t at_new_after_rollback = 0;
+  std::size_t requests_since_order = 0;
+  std::size_t new_version_requests_since_order = 0;
+  std::size_t faulty_responses = 0;
+  /// When the 50th faulty response was sent.
+  std::optional<TimePoint> fiftieth_faulty_response_at;
+  /// When the last request reached the new version.
+  TimePoint last_new_version_request_at;
+  /// Requests that were running at a target of the old version when the roll-out was reported as succeeded,
+  /// or that began there later.
+  std::size_t old_version_requests_after_success = 0;
+  /// Requests that began at the new version after the roll-out was reported as rolled back.
+  std::size_t new_version_requests_after_rollback = 0;
 };
 
-/// Three stores, and sidecars with targets of an old version; targets of a new version come with the order of
-/// a roll-out. Callers send to all sidecars. Whatever the targets see is checked against the promises.
+/// A simulated mesh of three stores and of sidecars with targets of an old version; order() adds targets of a
+/// new version. Callers send requests to all sidecars, and the targets record what they observe.
 class RolloutMesh {
  public:
   RolloutMesh(std::uint64_t seed, Behaviour new_version);
 
   const std::vector<ProcessId>& stores() const { return store_group_.ids(); }
-  /// Orders the roll-out, whoever leads; the targets of the new version start a moment later.
+  /// Orders the roll-out from the current leader; the targets of the new version start shortly afterwards.
   void order(Duration duration);
-  /// @return the state as the leader has it; nothing without a leader.
+  /// @return the phase of the roll-out at the leader; nothing without a leader or a roll-out.
   std::optional<wire::RolloutPhase> phase();
-  /// @return the newest reason that the leader has.
+  /// @return the reason of the newest step of the roll-out at the leader; empty without a leader or a
+  /// roll-out.
   std::string reason();
   void runFor(Duration time) { network.runFor(time); }
 
-  /// @return the runs at the target beside the sidecar.
+  /// @return the runs in progress at the target of the sidecar.
   const std::set<sidecar::RunId>& runsAt(ProcessId sidecar) const;
 
   std::optional<ProcessId> leader() const { return store_group_.leader(); }
@@ -81,15 +82,15 @@
   Observed observed;
   std::vector<ProcessId> old_sidecars;
   std::vector<ProcessId> new_sidecars;
-  /// If given, long runs are at the target beside this sidecar only.
+  /// If set, only the target of this sidecar has long runs.
   std::optional<ProcessId> long_runs_at;
-  /// Sidecars that were cut off: what begins at their own targets is not counted.
-  std::set<ProcessId> cut_off;
+  /// Sidecars that were partitioned: requests that begin at their own targets are not counted.
+  std::set<ProcessId> partitioned;
   TimePoint ordered_at;
   Duration duration{};
 
  private:
-  /// A target, the callers of its sidecar, and what both are owed.
+  /// A target with its sidecar, and the callers of that sidecar.
   struct Machine : sidecar::TargetPort, sidecar::CallerPort {
     RolloutMesh* mesh = nullptr;
     ProcessId id = 0;
@@ -109,13 +110,13 @@
   sidecar::SidecarCore& sidecarAt(ProcessId id) {
     return dynamic_cast<sidecar::SidecarCore&>(network.core(id));
   }
-  void beat(Machine& machine, Duration cold);
-  void keepBeating(Machine& machine);
-  void keepCalling(Machine& machine);
-  void watchState();
-  void noteState(wire::RolloutPhase phase);
-  void noteBegun(const Machine& machine);
-  bool isPoor(const Machine& machine, const wire::ForwardRequestT& request) const;
+  void sendHeartbeat(Machine& machine, Duration cold_time);
+  void scheduleHeartbeats(Machine& machine);
+  void scheduleCalls(Machine& machine);
+  void pollPhases();
+  void recordPhase(wire::RolloutPhase phase);
+  void recordRunStart(const Machine& machine);
+  bool isFaultyRun(const Machine& machine, const wire::ForwardRequestT& request) const;
   void finish(Machine& machine, sidecar::RunId run, bool fails);
 
   RandomSource random_;
--- a/tests/rollout/store_group.cpp
+++ b/tests/rollout/store_group.cpp
@@ -9,8 +9,9 @@
 namespace cometstand::rollout::test {
 
 runtime::Address addressOf(std::size_t number) {
-  constexpr std::size_t kAddressesOfNet = 200;
-  return {"10.0." + std::to_string(number / kAddressesOfNet) + "." + std::to_string(number % kAddressesOfNet),
+  constexpr std::size_t kAddressesPerNetwork = 200;
+  return {"10.0." + std::to_string(number / kAddressesPerNetwork) + "." +
+              std::to_string(number % kAddressesPerNetwork),
           7'000};
 }
 
@@ -42,16 +43,16 @@
 }
 
 std::optional<ProcessId> StoreGroup::leader() const {
-  std::optional<ProcessId> best;
-  consensus::Term best_term = 0;
+  std::optional<ProcessId> newest;
+  consensus::Term newest_term = 0;
   for (const auto id : ids_) {
     if (!network_.isRunning(id)) continue;
     const auto leadership = at(id).leadership();
-    if (leadership.role != consensus::Role::Leader || leadership.term <= best_term) continue;
-    best = id;
-    best_term = leadership.term;
+    if (leadership.role != consensus::Role::Leader || leadership.term <= newest_term) continue;
+    newest = id;
+    newest_term = leadership.term;
   }
-  return best;
+  return newest;
 }
 
 ProcessId StoreGroup::requireLeader() const {
--- a/tests/rollout/store_group.h
+++ b/tests/rollout/store_group.h
@@ -10,27 +10,27 @@
 
 namespace cometstand::rollout::test {
 
-/// @return the address of a process by its number, which is unique in its network.
+/// @return the address of the process with the given number, which is unique in its network.
 runtime::Address addressOf(std::size_t number);
 
-/// Self-forming stores on a network, numbered from 1.
+/// A cluster of self-forming stores on a simulated network, numbered from 1.
 class StoreGroup {
  public:
-  /// Starts the stores and waits until they have a leader.
+  /// Starts the stores and runs the network for 3 s, in which they elect a leader.
   /// @param zones see StoreOptions.
   StoreGroup(ProcessNetwork& network, RandomSource& random, std::size_t count,
              const mesh::ZoneMap& zones = {});
 
   const std::vector<ProcessId>& ids() const { return ids_; }
-  /// @return where sidecars find them.
+  /// @return the addresses of the stores, to be used as the seeds of sidecars.
   std::vector<runtime::Address> seeds() const;
   store::StoreCore& at(ProcessId id) const { return dynamic_cast<store::StoreCore&>(network_.core(id)); }
-  /// @return the running store that leads in the highest term.
+  /// @return the running store that is leader in the highest term.
   std::optional<ProcessId> leader() const;
-  /// @throw std::logic_error without a leader.
+  /// @throw std::logic_error if there is no leader.
   ProcessId requireLeader() const;
-  /// Makes this the mesh's configuration.
-  /// @param base the revision in force; 0 for none.
+  /// Proposes the mesh configuration to the leader and runs the network for 1 s.
+  /// @param base the current revision; 0 if there is none.
   void configure(const wire::MeshConfigurationT& configuration, std::uint64_t base = 0);
 
  private:
