--- a/src/store/claim_expiry.cpp
+++ b/src/store/claim_expiry.cpp
@@ -5,24 +5,25 @@
 namespace cometstand::store {
 namespace {
 
-/// Scans within one time limit.
-constexpr int kScansPerLimit = 8;
+/// Number of scans per claim_time_limit; bounds how long after the limit a claim expires.
+constexpr int kScansPerTimeLimit = 8;
 
-/// Nobody waits for the answer to an end that the store itself wrote.
-constexpr Asker kNobody{};
+/// The store itself proposes the end of an expired claim, so there is no client to reply to.
+constexpr Asker kNoRequester{};
 
 }  // namespace
 
 void ClaimExpiry::onTimer(TimePoint now) {
-  if (!context_.isLeader() || now < scan_at_) return;
-  scan_at_ = now + context_.options.claim_time_limit / kScansPerLimit;
-  std::map<ClaimName, Seen> seen;
+  if (!context_.isLeader() || now < next_scan_) return;
+  next_scan_ = now + context_.options.claim_time_limit / kScansPerTimeLimit;
+  std::map<ClaimId, ObservedClaim> observed;
   context_.state.claims().forEachInProgress([&](const std::string& tenant, const wire::ClaimRecordT& record) {
-    const ClaimName name(tenant, record.key);
-    const auto before = seen_.find(name);
-    const bool is_same = before != seen_.end() && before->second.attempt == record.attempt;
-    const TimePoint since = is_same ? before->second.since : now;
-    seen[name] = {record.attempt, since};
+    const ClaimId id(tenant, record.key);
+    const auto previous = observed_claims_.find(id);
+    const bool is_same_attempt =
+        previous != observed_claims_.end() && previous->second.attempt == record.attempt;
+    const TimePoint since = is_same_attempt ? previous->second.since : now;
+    observed[id] = {record.attempt, since};
     if (now - since < context_.options.claim_time_limit) return;
     wire::ClaimFinishT finish;
     finish.tenant = tenant;
@@ -31,10 +32,10 @@
     finish.end = wire::ClaimEnd::Unknown;
     wire::StoreCommandT command;
     command.body.Set(std::move(finish));
-    writer_.add(kNobody, std::move(command), kClaimRecordBytes, now);
+    writer_.add(kNoRequester, std::move(command), kClaimRecordBytes, now);
     ++context_.metrics.claims_expired;
   });
-  seen_ = std::move(seen);
+  observed_claims_ = std::move(observed);
 }
 
 }  // namespace cometstand::store
--- a/src/store/claim_expiry.h
+++ b/src/store/claim_expiry.h
@@ -9,31 +9,31 @@
 
 namespace cometstand::store {
 
-/// Ends claims whose holder has not been heard of for StoreOptions::claim_time_limit as Unknown, so that a
-/// caller that sends its request again gets a final answer. Whether the request ran is not known, so the key
-/// is not freed; a holder that lives after all may still report Completed. Runs on the leader, by its own
-/// clock: after a change of leader the time counts anew.
+/// Expires claims that one attempt has held in progress for StoreOptions::claim_time_limit: they end as
+/// Unknown, so that a caller that retries its request gets a final response. Whether the request was executed
+/// is not known, so the key is not freed; a holder that is still alive may report Completed later. Runs on
+/// the leader only and uses the leader's clock: a new leader starts the time limit again.
 class ClaimExpiry {
  public:
   ClaimExpiry(StoreContext& context, LogWriter& writer) : context_(context), writer_(writer) {}
 
   void onTimer(TimePoint now);
-  TimePoint nextTimer() const { return context_.isLeader() ? scan_at_ : TimePoint::max(); }
-  void onLeadershipLost() { seen_.clear(); }
+  TimePoint nextTimer() const { return context_.isLeader() ? next_scan_ : TimePoint::max(); }
+  void onLeadershipLost() { observed_claims_.clear(); }
 
  private:
-  struct Seen {
+  struct ObservedClaim {
     std::string attempt;
     TimePoint since;
   };
-  /// Tenant and key.
-  using ClaimName = std::pair<std::string, std::string>;
+  /// Tenant and idempotency key of a claim.
+  using ClaimId = std::pair<std::string, std::string>;
 
   StoreContext& context_;
   LogWriter& writer_;
-  /// Claims in progress at the last scan.
-  std::map<ClaimName, Seen> seen_;
-  TimePoint scan_at_;
+  /// Claims in progress at the last scan, each with the time of the first scan that found this attempt.
+  std::map<ClaimId, ObservedClaim> observed_claims_;
+  TimePoint next_scan_;
 };
 
 }  // namespace cometstand::store
--- a/src/store/claim_table.cpp
+++ b/src/store/claim_table.cpp
@@ -39,8 +39,8 @@
 }
 
 [[noreturn]] void throwCorrupt() {
-  throw Error(ErrorKind::Corrupt, "a claim of a snapshot lacks a part",
-              "remove this replica's data folder and join it anew under a new identifier");
+  throw Error(ErrorKind::Corrupt, "a claim record in the snapshot is incomplete",
+              "delete this replica's data folder and add the replica again under a new identifier");
 }
 
 }  // namespace
@@ -87,7 +87,7 @@
   const auto tenant = tenants_.find(finish.tenant);
   const bool is_known = tenant != tenants_.end() && tenant->second.claims.contains(finish.key);
   if (!is_known) {
-    // The end of a claim that is free again: a resend of the release, or of an end that was pruned since.
+    // The key is free: the claim was released by an earlier copy of this message, or has been evicted.
     if (finish.end == wire::ClaimEnd::Released) return stateReply(wire::ClaimState::Granted);
     throw Error(ErrorKind::NotFound, "there is no such claim", "do not repeat the request");
   }
@@ -102,14 +102,14 @@
   }
   end(tenant->second, claim, finish);
   wire::ClaimReplyT reply = stateReply(claim.record->state);
-  prune(tenant->second);
+  evict(tenant->second);
   return reply;
 }
 
-/// A claim that ended Unknown may still become Completed by its holder's word; Completed stays.
+/// A claim that ended as Unknown becomes Completed if its holder reports so later; Completed is final.
 void ClaimTable::end(Tenant& tenant, Claim& claim, const wire::ClaimFinishT& finish) {
   if (claim.record->state == wire::ClaimState::Completed || finish.end == wire::ClaimEnd::Released) return;
-  // A new record: the old one may be shared with a snapshot that is being written.
+  // Copies the record, because a snapshot that is being written may share the old one.
   auto record = std::make_shared<wire::ClaimRecordT>(*claim.record);
   const bool is_completed = finish.end == wire::ClaimEnd::Completed;
   record->state = is_completed ? wire::ClaimState::Completed : wire::ClaimState::Unknown;
@@ -135,19 +135,19 @@
 void ClaimTable::keepAnswer(Tenant& tenant, const Claim& claim) {
   if (claim.record->answer == nullptr) return;
   const std::size_t bytes = answerBytes(*claim.record);
-  tenant.with_answer.insert(claim.finish_number);
+  tenant.finish_numbers_with_answer.insert(claim.finish_number);
   tenant.answer_bytes += bytes;
   answer_bytes_ += bytes;
 }
 
 void ClaimTable::dropAnswer(Tenant& tenant, const Claim& claim) {
-  if (tenant.with_answer.erase(claim.finish_number) == 0) return;
+  if (tenant.finish_numbers_with_answer.erase(claim.finish_number) == 0) return;
   const std::size_t bytes = answerBytes(*claim.record);
   tenant.answer_bytes -= bytes;
   answer_bytes_ -= bytes;
 }
 
-void ClaimTable::dropOldestFinished(Tenant& tenant) {
+void ClaimTable::evictOldestFinished(Tenant& tenant) {
   const auto oldest = tenant.finished.begin();
   const auto claim = tenant.claims.find(oldest->second);
   dropAnswer(tenant, claim->second);
@@ -158,22 +158,23 @@
   tenant.finished.erase(oldest);
 }
 
-void ClaimTable::prune(Tenant& tenant) {
-  const auto largest_by = [this](std::size_t Tenant::*bytes) -> Tenant& {
+void ClaimTable::evict(Tenant& tenant) {
+  const auto tenant_with_most = [this](std::size_t Tenant::*bytes) -> Tenant& {
     return std::max_element(tenants_.begin(), tenants_.end(),
                             [bytes](const auto& left, const auto& right) {
                               return left.second.*bytes < right.second.*bytes;
                             })
         ->second;
   };
-  while (tenant.finished_bytes > bounds_.finished_bytes_per_tenant) dropOldestFinished(tenant);
+  while (tenant.finished_bytes > bounds_.finished_bytes_per_tenant) evictOldestFinished(tenant);
   while (finished_bytes_ > bounds_.finished_bytes_total) {
-    dropOldestFinished(largest_by(&Tenant::finished_bytes));
+    evictOldestFinished(tenant_with_most(&Tenant::finished_bytes));
   }
   while (answer_bytes_ > bounds_.answer_bytes_total) {
-    auto& largest = largest_by(&Tenant::answer_bytes);
-    auto& claim = largest.claims[largest.finished.at(*largest.with_answer.begin())];
-    dropAnswer(largest, claim);
+    auto& largest_tenant = tenant_with_most(&Tenant::answer_bytes);
+    auto& claim =
+        largest_tenant.claims[largest_tenant.finished.at(*largest_tenant.finish_numbers_with_answer.begin())];
+    dropAnswer(largest_tenant, claim);
     claim.record = std::make_shared<wire::ClaimRecordT>(*claim.record);
     claim.record->answer = nullptr;
   }
--- a/src/store/claim_table.h
+++ b/src/store/claim_table.h
@@ -14,17 +14,21 @@
 
 namespace cometstand::store {
 
-/// Claims on the idempotency keys of requests that may not be repeated. Part of the replicated state.
+/// Claims on the idempotency keys of requests that must not be executed twice. Part of the replicated state.
 ///
-/// A claim is granted to one attempt. It ends Released (no byte went out; the key is free again), Completed
-/// (with the recorded answer) or Unknown. Time alone never frees a key.
+/// A claim is granted to one attempt. It ends as Released (no byte of the request was sent; the key is free
+/// again), Completed (with the recorded response) or Unknown. A key is never freed merely because time has
+/// passed.
 ///
-/// Pruning rule: claims in progress are never dropped; beyond kMaxClaimsInProgressPerTenant of a tenant or
-/// kMaxClaimsInProgressTotal no new ones are granted. Finished claims are kept per tenant up to
-/// kMaxFinishedClaimBytesPerTenant, over all tenants up to kMaxFinishedClaimBytesTotal, where the tenant with
-/// the most bytes gives way first; the first to finish go first. Beyond kMaxRecordedAnswerBytesTotal the
-/// tenant with the most bytes of answers loses its oldest one; that claim stays Completed, without its
-/// answer. Each rule looks at the order within one tenant alone, which a snapshot keeps.
+/// Eviction policy:
+/// - Claims in progress are never evicted. New ones are refused beyond kMaxClaimsInProgressPerTenant for a
+///   tenant or kMaxClaimsInProgressTotal over all tenants.
+/// - Finished claims are kept up to kMaxFinishedClaimBytesPerTenant for a tenant and
+///   kMaxFinishedClaimBytesTotal over all tenants. Beyond the total, claims of the tenant with the most bytes
+///   are evicted. Within a tenant, the claim that finished first is evicted first.
+/// - Beyond kMaxRecordedAnswerBytesTotal, the oldest recorded response of the tenant with the most response
+///   bytes is dropped; that claim stays Completed, without its response.
+/// - The policy depends only on the order of claims within one tenant, which a snapshot preserves.
 class ClaimTable {
  public:
   struct Bounds {
@@ -36,19 +40,21 @@
   };
 
   ClaimTable() = default;
-  /// For tests: smaller bounds.
+  /// Allows tests to use smaller bounds.
   explicit ClaimTable(const Bounds& bounds) : bounds_(bounds) {}
 
-  /// Takes the claim if it is free, or tells its state.
+  /// Grants the claim if the key is free or the same attempt already holds it.
+  /// @return the state of the claim, with the recorded response if there is one.
+  /// @throw Error(Invalid), Error(Malformed) or Error(Overloaded) if the request is refused.
   wire::ClaimReplyT request(const wire::ClaimRequestT& request);
 
-  /// Ends a claim. May be repeated: the same end of the same attempt is answered alike.
+  /// Ends a claim. Idempotent: repeating the same end for the same attempt gives the same reply.
   wire::ClaimReplyT finish(const wire::ClaimFinishT& finish);
 
   std::size_t inProgressCount() const { return in_progress_count_; }
   std::size_t finishedCount() const;
 
-  /// Calls the action with tenant and record of each claim in progress.
+  /// Calls the action with the tenant and the record of each claim in progress.
   void forEachInProgress(
       const std::function<void(const std::string& tenant, const wire::ClaimRecordT& record)>& action) const;
 
@@ -60,15 +66,15 @@
   using Record = std::shared_ptr<wire::ClaimRecordT>;
   struct Claim {
     Record record;
-    /// Rises with each finished claim of the tenant; 0 while in progress.
+    /// Sequence number of the end among the tenant's finished claims; 0 while the claim is in progress.
     std::uint64_t finish_number = 0;
   };
   struct Tenant {
     std::map<std::string, Claim> claims;
-    /// Keys of finished claims by finish number.
+    /// Idempotency keys of finished claims, ordered by finish number.
     std::map<std::uint64_t, std::string> finished;
-    /// Finish numbers of claims whose answer is kept.
-    std::set<std::uint64_t> with_answer;
+    /// Finish numbers of the claims whose response is still recorded.
+    std::set<std::uint64_t> finish_numbers_with_answer;
     std::size_t finished_bytes = 0;
     std::size_t answer_bytes = 0;
     std::uint64_t last_finish_number = 0;
@@ -79,10 +85,10 @@
   void grant(Tenant& tenant, const wire::ClaimRequestT& request);
   void end(Tenant& tenant, Claim& claim, const wire::ClaimFinishT& finish);
   void addFinished(Tenant& tenant, Claim& claim);
-  void dropOldestFinished(Tenant& tenant);
+  void evictOldestFinished(Tenant& tenant);
   void keepAnswer(Tenant& tenant, const Claim& claim);
   void dropAnswer(Tenant& tenant, const Claim& claim);
-  void prune(Tenant& tenant);
+  void evict(Tenant& tenant);
 
   Bounds bounds_;
   std::map<std::string, Tenant> tenants_;
--- a/src/store/command_forwarder.cpp
+++ b/src/store/command_forwarder.cpp
@@ -12,7 +12,7 @@
 using runtime::LinkId;
 
 void CommandForwarder::forward(const Asker& asker, const wire::CommandRequestT& request, bool may_change,
-                               Duration limit, TimePoint now) {
+                               Duration time_limit, TimePoint now) {
   const auto leader = context_.consensus.leadership().leader;
   const auto link = replicas_.linkTo(leader);
   if (!link) {
@@ -23,7 +23,7 @@
     return;
   }
   const std::uint64_t id = ++last_request_id_;
-  pending_[id] = {asker, *link, may_change, now + limit};
+  pending_[id] = {asker, *link, may_change, now + time_limit};
   wire::CommandRequestT forwarded = request;
   forwarded.forwarded = true;
   context_.actions.send(*link, std::move(forwarded), id);
--- a/src/store/command_forwarder.h
+++ b/src/store/command_forwarder.h
@@ -8,15 +8,16 @@
 
 namespace cometstand::store {
 
-/// Passes operators' commands on to the leader, and its answers back to the operator who asked.
+/// Forwards operators' commands from a follower to the leader, and the leader's replies to the operators.
 class CommandForwarder {
  public:
   CommandForwarder(StoreContext& context, const ReplicaLinks& replicas)
       : context_(context), replicas_(replicas) {}
 
-  /// @param may_change false for a query: its loss is NotRun, not Unknown.
-  /// @param limit how long the leader may take.
-  void forward(const Asker& asker, const wire::CommandRequestT& request, bool may_change, Duration limit,
+  /// @param may_change false for a query: if the leader's reply is lost, the outcome is NotRun instead of
+  /// Unknown.
+  /// @param time_limit after which the leader's reply counts as lost.
+  void forward(const Asker& asker, const wire::CommandRequestT& request, bool may_change, Duration time_limit,
                TimePoint now);
   void onReply(runtime::LinkId link, std::uint64_t request_id, const wire::CommandReplyT& reply);
   void onLinkClosed(runtime::LinkId link);
@@ -37,7 +38,7 @@
   StoreContext& context_;
   const ReplicaLinks& replicas_;
   std::uint64_t last_request_id_ = 0;
-  /// By the request id that the leader was asked with.
+  /// Forwarded commands by the request id of the message to the leader.
   std::map<std::uint64_t, Pending> pending_;
 };
 
--- a/src/store/command_service.cpp
+++ b/src/store/command_service.cpp
@@ -16,7 +16,7 @@
 namespace cometstand::store {
 namespace {
 
-/// Joins lambdas into one visitor.
+/// Combines lambdas into one visitor for std::visit.
 template <typename... Functions>
 struct Overloaded : Functions... {
   using Functions::operator()...;
@@ -40,33 +40,35 @@
                   "1767225600000-5f3a, and keep it for resends");
     }
     if (context_.isLeader()) {
-      lead(asker, std::move(command), now);
+      processOnLeader(asker, std::move(command), now);
     } else if (request.forwarded) {
       throw Error(ErrorKind::Unavailable, "this replica does not lead", "send the command again",
                   context_.options.retry_after);
     } else {
-      parts_.forwarder.forward(asker, request, !command::isQuery(command->parsed),
-                               forwardLimit(command->parsed), now);
+      dependencies_.forwarder.forward(asker, request, !command::isQuery(command->parsed),
+                                      forwardTimeLimit(command->parsed), now);
     }
   } catch (const Error& error) {
     sendReply(context_, asker, notRun<wire::CommandReplyT>(error));
   }
 }
 
-Duration CommandService::forwardLimit(const command::Command& command) const {
+Duration CommandService::forwardTimeLimit(const command::Command& command) const {
   const auto& options = context_.options;
-  Duration limit = options.command_time_limit + options.status_time_limit;
+  Duration time_limit = options.command_time_limit + options.status_time_limit;
   if (const auto* wait = std::get_if<command::WaitInForce>(&command)) {
-    limit += std::min(wait->timeout, options.max_wait);
+    time_limit += std::min(wait->timeout, options.max_wait);
   } else if (std::holds_alternative<command::ReplaceReplica>(command)) {
-    limit += options.repair_time_limit;
+    time_limit += options.repair_time_limit;
   }
-  return limit;
+  return time_limit;
 }
 
-void CommandService::lead(const Asker& asker, std::shared_ptr<const Command> command, TimePoint now) {
+void CommandService::processOnLeader(const Asker& asker, std::shared_ptr<const Command> command,
+                                     TimePoint now) {
   if (std::holds_alternative<command::Change>(command->parsed)) {
-    // The log confirms the quorum, and the state machine checks the credential again at the log position.
+    // Needs no quorum round: committing the log entry takes a quorum, and the state machine checks the
+    // credential again at the log position.
     if (const auto identity = authenticate(command->request)) {
       addChange(asker, *command, *identity, now);
       return;
@@ -84,11 +86,11 @@
             throw Error(ErrorKind::Unauthenticated, "tenant, operator name or token is wrong",
                         "check the three, or ask an administrator for a new credential");
           }
-          const Call call{asker, *identity, confirmed_at};
+          const ExecutionContext execution{asker, *identity, confirmed_at};
           std::visit(Overloaded{[&](const command::Change& /*change*/) {
                                   addChange(asker, *command, *identity, confirmed_at);
                                 },
-                                [&](const auto& one) { run(call, one); }},
+                                [&](const auto& other) { execute(execution, other); }},
                      command->parsed);
         } catch (const Error& error) {
           sendReply(context_, asker, notRun<wire::CommandReplyT>(error));
@@ -125,9 +127,9 @@
   change.text_digest = std::make_shared<wire::Digest>(config::textDigest(request.text));
   change.transaction = std::make_shared<wire::TransactionT>(
       command::toTransaction(std::get<command::Change>(command.parsed), request.tenant));
-  wire::StoreCommandT logged;
-  logged.body.Set(std::move(change));
-  parts_.writer.add(asker, std::move(logged), request.text.size(), now);
+  wire::StoreCommandT store_command;
+  store_command.body.Set(std::move(change));
+  dependencies_.writer.add(asker, std::move(store_command), request.text.size(), now);
 }
 
 }  // namespace cometstand::store
--- a/src/store/command_service.h
+++ b/src/store/command_service.h
@@ -17,8 +17,8 @@
 
 namespace cometstand::store {
 
-/// The parts that carry commands out.
-struct CommandParts {
+/// The components of a replica that execute commands. All references outlive the CommandService.
+struct CommandDependencies {
   ReaderHub& readers;
   LogWriter& writer;
   StatusCollector& statuses;
@@ -29,21 +29,23 @@
   EvacuationService& evacuations;
 };
 
-/// Takes operators' commands: parses them, passes them on to the leader, and there checks the credential and
-/// carries them out. A change is checked again at its place in the log. Everything else, refusals included,
-/// is answered only after a quorum confirmed this leader since the command came.
+/// Handles operators' commands: parses them and forwards them to the leader, which authenticates the operator
+/// and executes the command. The state machine checks a change again at its log position. For every other
+/// command, and for a failed authentication, the leader replies only after a quorum has confirmed its
+/// leadership since the command arrived.
 class CommandService {
  public:
-  CommandService(StoreContext& context, CommandParts parts) : context_(context), parts_(parts) {}
+  CommandService(StoreContext& context, CommandDependencies dependencies)
+      : context_(context), dependencies_(dependencies) {}
 
   void onCommand(const Asker& asker, const wire::CommandRequestT& request, TimePoint now);
   void beginStop() { stopping_ = true; }
 
  private:
-  /// A credential that was checked.
+  /// An authenticated operator.
   struct Identity {
     Scope scope;
-    /// 0 for the bootstrap credential.
+    /// Catalog version of the credential; 0 for the bootstrap credential.
     std::uint64_t credential_version = 0;
   };
   struct Command {
@@ -51,49 +53,49 @@
     command::Command parsed;
   };
 
-  /// A command that a quorum-confirmed leader carries out.
-  struct Call {
+  /// Execution of one command on a leader that a quorum has confirmed.
+  struct ExecutionContext {
     Asker asker;
     Identity identity;
     TimePoint now;
   };
 
-  void lead(const Asker& asker, std::shared_ptr<const Command> command, TimePoint now);
+  void processOnLeader(const Asker& asker, std::shared_ptr<const Command> command, TimePoint now);
   void addChange(const Asker& asker, const Command& command, const Identity& identity, TimePoint now);
   std::optional<Identity> authenticate(const wire::CommandRequestT& request) const;
-  Duration forwardLimit(const command::Command& command) const;
+  Duration forwardTimeLimit(const command::Command& command) const;
 
-  // command_execution.cpp: one overload a command.
-  void run(const Call& call, const command::ShowVersion& query);
-  void run(const Call& call, const command::ShowProxies& query);
-  void run(const Call& call, const command::ShowRoute& query);
-  void run(const Call& call, const command::ShowRoutes& query);
-  void run(const Call& call, const command::ShowServices& query);
-  void run(const Call& call, const command::ShowEndpoints& query);
-  void run(const Call& call, const command::ShowChanges& query);
-  void run(const Call& call, const command::ShowNodes& query);
-  void run(const Call& call, const command::ShowTenants& query);
-  void run(const Call& call, const command::ShowSecrets& query);
-  void run(const Call& call, const command::ShowReplicas& query);
-  void run(const Call& call, const command::ShowQuarantine& query);
-  void run(const Call& call, const command::WaitInForce& query);
-  void run(const Call& call, const command::DrainEndpoint& order);
-  void run(const Call& call, const command::StopProxy& order);
-  void run(const Call& call, const command::StopRelay& order);
-  void run(const Call& call, const command::TransferLeader& order);
-  void run(const Call& call, const command::AddReplica& order);
-  void run(const Call& call, const command::ReplaceReplica& order);
-  void run(const Call& call, const command::RemoveReplica& order);
-  void run(const Call& call, const command::ReleaseContent& order);
-  void run(const Call& call, const command::ShowEvacuations& query);
-  void run(const Call& call, const command::EvacuateZone& order);
+  // One overload for each type of command, defined in command_execution.cpp.
+  void execute(const ExecutionContext& execution, const command::ShowVersion& query);
+  void execute(const ExecutionContext& execution, const command::ShowProxies& query);
+  void execute(const ExecutionContext& execution, const command::ShowRoute& query);
+  void execute(const ExecutionContext& execution, const command::ShowRoutes& query);
+  void execute(const ExecutionContext& execution, const command::ShowServices& query);
+  void execute(const ExecutionContext& execution, const command::ShowEndpoints& query);
+  void execute(const ExecutionContext& execution, const command::ShowChanges& query);
+  void execute(const ExecutionContext& execution, const command::ShowNodes& query);
+  void execute(const ExecutionContext& execution, const command::ShowTenants& query);
+  void execute(const ExecutionContext& execution, const command::ShowSecrets& query);
+  void execute(const ExecutionContext& execution, const command::ShowReplicas& query);
+  void execute(const ExecutionContext& execution, const command::ShowQuarantine& query);
+  void execute(const ExecutionContext& execution, const command::WaitInForce& query);
+  void execute(const ExecutionContext& execution, const command::DrainEndpoint& order);
+  void execute(const ExecutionContext& execution, const command::StopProxy& order);
+  void execute(const ExecutionContext& execution, const command::StopRelay& order);
+  void execute(const ExecutionContext& execution, const command::TransferLeader& order);
+  void execute(const ExecutionContext& execution, const command::AddReplica& order);
+  void execute(const ExecutionContext& execution, const command::ReplaceReplica& order);
+  void execute(const ExecutionContext& execution, const command::RemoveReplica& order);
+  void execute(const ExecutionContext& execution, const command::ReleaseContent& order);
+  void execute(const ExecutionContext& execution, const command::ShowEvacuations& query);
+  void execute(const ExecutionContext& execution, const command::EvacuateZone& order);
   /// @throw Error(Forbidden)
-  static void requireAdministrator(const Call& call);
-  /// @throw Error(Unavailable) if there is no reader.
-  void sendStopOrder(const Call& call, const wire::StopOrderT& order);
+  static void requireAdministrator(const ExecutionContext& execution);
+  /// @throw Error(Unavailable) if no relay is connected.
+  void sendStopOrder(const ExecutionContext& execution, const wire::StopOrderT& order);
 
   StoreContext& context_;
-  CommandParts parts_;
+  CommandDependencies dependencies_;
   bool stopping_ = false;
 };
 
--- a/src/store/leader_reads.h
+++ b/src/store/leader_reads.h
@@ -9,17 +9,17 @@
 
 namespace cometstand::store {
 
-/// Runs an action once this replica is confirmed to be the leader by a quorum round that began after the
-/// call, and everything committed before the call is applied (read index). So a leader that was frozen or cut
-/// off never answers from stale state.
+/// Linearizable reads by read index: runs an action once a quorum round that began after the call has
+/// confirmed that this replica is the leader, and all entries committed before the call are applied. A leader
+/// that was suspended or partitioned therefore never replies from stale state.
 class LeaderReads {
  public:
-  /// @param confirmed false: this replica is not known to lead.
+  /// @param confirmed whether a quorum has confirmed this replica as leader.
   using Action = std::function<void(bool confirmed, TimePoint now)>;
 
   explicit LeaderReads(consensus::Consensus& consensus) : consensus_(consensus) {}
 
-  /// The action runs once, in a later step.
+  /// Requests a confirmed read. The action is called exactly once, from a later onResult().
   void ask(Action action, TimePoint now) {
     const consensus::ReadTicket ticket{++last_ticket_};
     actions_.emplace(ticket, std::move(action));
--- a/src/store/options.cpp
+++ b/src/store/options.cpp
@@ -13,14 +13,14 @@
 using std::chrono::seconds;
 
 template <typename Value>
-void checkRange(const char* name, Value value, Value low, Value high) {
-  if (value >= low && value <= high) return;
+void checkRange(const char* name, Value value, Value minimum, Value maximum) {
+  if (value >= minimum && value <= maximum) return;
   throw Error(ErrorKind::Invalid, fmt::format("{} is out of its range", name),
               "choose a value from the range in docs/SETTINGS.md");
 }
 
-void checkRange(const char* name, Duration value, Duration low, Duration high) {
-  checkRange(name, value.count(), low.count(), high.count());
+void checkRange(const char* name, Duration value, Duration minimum, Duration maximum) {
+  checkRange(name, value.count(), minimum.count(), maximum.count());
 }
 
 }  // namespace
--- a/src/store/proposal_waits.cpp
+++ b/src/store/proposal_waits.cpp
@@ -17,8 +17,9 @@
   while (!pending_.empty() && pending_.front().index <= entry.index) {
     const Pending pending = std::move(pending_.front());
     pending_.pop_front();
-    const bool is_own = pending.index == entry.index && pending.term == entry.term && results.size() == 1;
-    pending.handler(is_own ? &results.front() : nullptr);
+    const bool is_own_entry =
+        pending.index == entry.index && pending.term == entry.term && results.size() == 1;
+    pending.handler(is_own_entry ? &results.front() : nullptr);
   }
 }
 
--- a/src/store/proposal_waits.h
+++ b/src/store/proposal_waits.h
@@ -8,26 +8,30 @@
 
 namespace cometstand::store {
 
-/// Callers in the same process who wait until their command, alone in its log entry, is applied.
+/// Proposals from callers in the same process, each one command in its own log entry, that have not been
+/// applied yet.
 class ProposalWaits {
  public:
-  /// @param result of the command; nullptr if whether it took effect is not known.
+  /// @param result of the command; nullptr if it is unknown whether the command took effect.
   using Handler = std::function<void(const CommandResult* result)>;
 
   explicit ProposalWaits(StoreContext& context) : context_(context) {}
 
-  /// Proposes the command. @param handler called exactly once, later, if the result is true; else never.
-  /// @return false if this replica does not lead.
+  /// Proposes the command.
+  /// @param handler called exactly once, after this function returned true; never called if it returned
+  /// false.
+  /// @return false if this replica is not the leader or the proposal was not accepted.
   template <typename Command>
   bool propose(Command command, Handler handler, TimePoint now) {
     wire::StoreCommandBatchT batch;
-    auto boxed = std::make_shared<wire::StoreCommandT>();
-    boxed->body.Set(std::move(command));
-    batch.commands.push_back(std::move(boxed));
+    auto store_command = std::make_shared<wire::StoreCommandT>();
+    store_command->body.Set(std::move(command));
+    batch.commands.push_back(std::move(store_command));
     return proposeBatch(batch, std::move(handler), now);
   }
 
-  /// @param results of the entry's commands.
+  /// @param entry the log entry that was applied.
+  /// @param results one for each command of the entry.
   void onApplied(const wire::LogEntryT& entry, const std::vector<CommandResult>& results);
   void onLeadershipLost();
   void onTimer(TimePoint now);
--- a/src/store/queries.cpp
+++ b/src/store/queries.cpp
@@ -18,9 +18,9 @@
 
 using Rows = std::vector<std::vector<std::string>>;
 
-/// Calls the action with key and spec of each living object of one kind that the scope shows.
+/// Calls the action with the key and the catalog entry of each object of one kind. Skips deleted objects.
 template <typename Action>
-void forEach(const StateMachine& state, wire::ObjectKind kind, Action action) {
+void forEachObject(const StateMachine& state, wire::ObjectKind kind, Action action) {
   const auto& entries = state.catalog().entries();
   for (auto entry = entries.lower_bound(config::makeKey(kind, "", "")); entry != entries.end(); ++entry) {
     if (entry->first.kind != kind) return;
@@ -83,7 +83,7 @@
   Rows rows;
   for (const auto& method : methods) {
     const auto route = router.find(query.host, query.path, method);
-    // A route for any method is named once.
+    // A route for any method is listed only once, under the empty method.
     if (route == nullptr || route->method != method) continue;
     rows.push_back({route->service.tenant, route->name, orAny(route->host), route->path_prefix,
                     orAny(route->method), route->service.service});
@@ -93,7 +93,7 @@
 
 wire::CommandReplyT showRoutes(const StateMachine& state, const Scope& scope) {
   Rows rows;
-  forEach(state, wire::ObjectKind::Route, [&](const auto& key, const auto& entry) {
+  forEachObject(state, wire::ObjectKind::Route, [&](const auto& key, const auto& entry) {
     if (!scope.shows(key.tenant)) return;
     const auto& route = *entry.object->spec.AsRouteSpec();
     rows.push_back({key.tenant, key.name, orAny(route.host), route.path_prefix, orAny(route.method),
@@ -109,7 +109,7 @@
 
 wire::CommandReplyT showServices(const StateMachine& state, const Scope& scope) {
   Rows rows;
-  forEach(state, wire::ObjectKind::Service, [&](const auto& key, const auto& entry) {
+  forEachObject(state, wire::ObjectKind::Service, [&](const auto& key, const auto& entry) {
     if (!scope.shows(key.tenant)) return;
     const auto& service = *entry.object->spec.AsServiceSpec();
     rows.push_back(
@@ -120,7 +120,7 @@
 
 wire::CommandReplyT showNodes(const StateMachine& state, const Scope& scope) {
   Rows rows;
-  forEach(state, wire::ObjectKind::Node, [&](const auto& key, const auto& entry) {
+  forEachObject(state, wire::ObjectKind::Node, [&](const auto& key, const auto& entry) {
     const auto& node = *entry.object->spec.AsNodeSpec();
     if (!scope.showsNode(node)) return;
     const std::string tenants =
@@ -132,7 +132,7 @@
 
 wire::CommandReplyT showTenants(const StateMachine& state, const Scope& scope) {
   Rows rows;
-  forEach(state, wire::ObjectKind::Tenant, [&](const auto& key, const auto& entry) {
+  forEachObject(state, wire::ObjectKind::Tenant, [&](const auto& key, const auto& entry) {
     if (!scope.shows(key.tenant)) return;
     rows.push_back({key.tenant, std::to_string(entry.object->spec.AsTenantSpec()->max_in_flight),
                     std::to_string(entry.version)});
@@ -142,7 +142,7 @@
 
 wire::CommandReplyT showSecrets(const StateMachine& state, const Scope& scope) {
   Rows rows;
-  forEach(state, wire::ObjectKind::Secret, [&](const auto& key, const auto& entry) {
+  forEachObject(state, wire::ObjectKind::Secret, [&](const auto& key, const auto& entry) {
     if (scope.shows(key.tenant)) rows.push_back({key.tenant, key.name, std::to_string(entry.version)});
   });
   return makeTable(state.catalog().version(), {"tenant", "secret", "changed_at"}, rows);
@@ -170,10 +170,10 @@
       if (scope.shows(key->tenant)) objects.push_back(config::formatKey(*key));
     }
     if (objects.empty() && !scope.shows((*change)->tenant)) continue;
-    const bool is_own = scope.shows((*change)->tenant);
-    rows.push_back({std::to_string((*change)->version), is_own ? (*change)->tenant : "",
-                    is_own ? (*change)->operator_name : "",
-                    is_own ? std::to_string((*change)->key_count) : "",
+    const bool is_visible = scope.shows((*change)->tenant);
+    rows.push_back({std::to_string((*change)->version), is_visible ? (*change)->tenant : "",
+                    is_visible ? (*change)->operator_name : "",
+                    is_visible ? std::to_string((*change)->key_count) : "",
                     fmt::format("{}", fmt::join(objects, ", "))});
   }
   return makeTable(state.catalog().version(), {"version", "tenant", "operator", "objects", "names"}, rows);
@@ -181,14 +181,14 @@
 
 wire::CommandReplyT showProxies(const StateMachine& state, const Scope& scope,
                                 const command::ShowProxies& query, const wire::StatusReplyT& status) {
-  // A proxy that moved may be reported by two relays: the newer report counts.
+  // Two relays may report a proxy that changed its relay; the report with the higher version is used.
   std::map<std::string, wire::ProxyStatusT> reported;
   for (const auto& proxy : status.proxies) {
     const auto [found, added] = reported.emplace(proxy->node, *proxy);
     if (!added && found->second.as_of < proxy->as_of) found->second = *proxy;
   }
   Rows rows;
-  forEach(state, wire::ObjectKind::Node, [&](const auto& key, const auto& entry) {
+  forEachObject(state, wire::ObjectKind::Node, [&](const auto& key, const auto& entry) {
     const auto& node = *entry.object->spec.AsNodeSpec();
     if (!scope.showsNode(node)) return;
     wire::ProxyStatusT proxy;
@@ -213,17 +213,17 @@
     throw Error(ErrorKind::NotFound, fmt::format("{} does not exist", config::formatKey(key)),
                 "check the name");
   }
-  std::map<std::string, std::shared_ptr<wire::EndpointRecordT>> newest;
+  std::map<std::string, std::shared_ptr<wire::EndpointRecordT>> newest_records;
   for (const auto& record : status.endpoints) {
     if (record->tenant != tenant || record->service != query.service.name) continue;
-    auto& known = newest[record->endpoint];
-    if (known == nullptr || isNewer(*record, *known)) known = record;
+    auto& newest_record = newest_records[record->endpoint];
+    if (newest_record == nullptr || isNewer(*record, *newest_record)) newest_record = record;
   }
   Rows rows;
   for (const auto& endpoint : object->spec.AsServiceSpec()->endpoints) {
-    const auto found = newest.find(endpoint->name);
+    const auto found = newest_records.find(endpoint->name);
     rows.push_back({endpoint->name, fmt::format("{}:{}", endpoint->address, endpoint->port), endpoint->zone,
-                    found == newest.end() ? "unreported" : endpointStateName(found->second->state),
+                    found == newest_records.end() ? "unreported" : endpointStateName(found->second->state),
                     std::to_string(endpoint->slots), std::to_string(endpoint->max_connections)});
   }
   return makeTable(state.catalog().version(),
--- a/src/store/queries.h
+++ b/src/store/queries.h
@@ -6,17 +6,18 @@
 #include "operator/command.h"
 #include "store/state_machine.h"
 
-/// Answers of operators' queries, made from the applied state alone. Each asker sees its own tenant; an
-/// administrator sees all. No answer holds a secret's value, a token or a hash.
+/// Replies to operators' queries, computed from the applied state and the relays' status reports. Operators
+/// see only objects of their own tenant; administrators see all. No reply contains the value of a secret, a
+/// token or a hash.
 namespace cometstand::store {
 
-/// Whose objects an answer may show.
+/// Visibility of objects to one operator.
 struct Scope {
   std::string tenant;
   bool administrator = false;
 
   bool shows(const std::string& other_tenant) const { return administrator || other_tenant == tenant; }
-  /// @return true if the proxy of this node may hold objects of the tenant.
+  /// @return true if the tenant is assigned to the node, or the operator is an administrator.
   bool showsNode(const wire::NodeSpecT& node) const;
 };
 
@@ -31,15 +32,17 @@
 wire::CommandReplyT showChanges(const StateMachine& state, const Scope& scope,
                                 const command::ShowChanges& query);
 
-/// @param status what the relays answered. A node without a report is shown as "silent", with version 0.
+/// @param status the relays' merged status reports. A node without a report is shown as "silent", with
+/// version 0.
 wire::CommandReplyT showProxies(const StateMachine& state, const Scope& scope,
                                 const command::ShowProxies& query, const wire::StatusReplyT& status);
 
-/// @param status what the relays answered. An endpoint that no relay reports is shown as "unreported".
+/// @param status the relays' merged status reports. An endpoint that no relay reports is shown as
+/// "unreported".
 wire::CommandReplyT showEndpoints(const StateMachine& state, const Scope& scope,
                                   const command::ShowEndpoints& query, const wire::StatusReplyT& status);
 
-/// @return a reply with these columns and rows.
+/// @param version of the catalog that the rows were read from.
 wire::CommandReplyT makeTable(std::uint64_t version, std::vector<std::string> columns,
                               const std::vector<std::vector<std::string>>& rows);
 
--- a/src/store/replies.h
+++ b/src/store/replies.h
@@ -5,10 +5,10 @@
 
 #include "runtime/error_info.h"
 
-/// Answers in their wire form.
+/// Construction of reply messages for failed requests.
 namespace cometstand::store {
 
-/// @return a CommandReply or ClaimReply without content.
+/// @return a CommandReply or ClaimReply with this outcome and error and no other content.
 template <typename Reply>
 Reply failedReply(wire::Outcome outcome, const Error& error) {
   Reply reply;
--- a/src/store/request_id.h
+++ b/src/store/request_id.h
@@ -9,14 +9,15 @@
 #include <string>
 #include <string_view>
 
-/// Identifiers of operators' changes: "<time>-<rest>". The time is the client's clock when it first sent the
-/// command, in milliseconds since 1970, in decimal; the rest makes the identifier unique. The time tells an
-/// identifier that the request table has forgotten from one that was never seen.
+/// Identifiers of operators' changes, of the form "<time>-<rest>". The time is the client's clock at the
+/// first attempt, in milliseconds since 1970, in decimal; the rest makes the identifier unique. The time lets
+/// the request table distinguish an identifier that it has evicted from one that is new.
 namespace cometstand::store {
 
 inline constexpr std::size_t kMaxRequestIdBytes = 80;
 
-/// @return the time in the identifier, or nothing if it is not of the form above.
+/// @return the time in milliseconds since 1970, or nullopt if the identifier is not of the form
+/// "<time>-<rest>" or is too long.
 inline std::optional<std::uint64_t> requestTime(std::string_view request_id) {
   if (request_id.size() > kMaxRequestIdBytes) return std::nullopt;
   std::uint64_t time = 0;
@@ -26,8 +27,8 @@
   return has_rest ? std::optional(time) : std::nullopt;
 }
 
-/// @param unix_milliseconds when the command is first sent.
-/// @param nonce a random number.
+/// @param unix_milliseconds the client's clock at the first attempt.
+/// @param nonce a random number that makes the identifier unique.
 inline std::string makeRequestId(std::uint64_t unix_milliseconds, std::uint64_t nonce) {
   return fmt::format("{}-{:016x}", unix_milliseconds, nonce);
 }
--- a/src/store/request_table.cpp
+++ b/src/store/request_table.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-std::optional<wire::CommandReplyT> RequestTable::answerFor(const wire::ChangeCommandT& command) const {
+std::optional<wire::CommandReplyT> RequestTable::findReply(const wire::ChangeCommandT& command) const {
   const auto tenant = tenants_.find(command.tenant);
   if (tenant == tenants_.end()) return std::nullopt;
   const std::uint64_t time = requestTime(command.request_id).value_or(0);
@@ -44,24 +44,24 @@
   auto& tenant = tenants_[command.tenant];
   const Key key{requestTime(command.request_id).value_or(0), command.request_id};
   if (tenant.answered.emplace(key, std::move(answered)).second) ++size_;
-  prune(tenant);
+  evict(tenant);
 }
 
-void RequestTable::forgetOldest(Tenant& tenant) {
+void RequestTable::evictOldest(Tenant& tenant) {
   const auto oldest = tenant.answered.begin();
   tenant.forgotten_before = std::max(tenant.forgotten_before, oldest->first.first + 1);
   tenant.answered.erase(oldest);
   --size_;
 }
 
-void RequestTable::prune(Tenant& tenant) {
-  if (tenant.answered.size() > max_per_tenant_) forgetOldest(tenant);
+void RequestTable::evict(Tenant& tenant) {
+  if (tenant.answered.size() > max_per_tenant_) evictOldest(tenant);
   if (size_ <= max_total_) return;
-  const auto largest =
+  const auto largest_tenant =
       std::max_element(tenants_.begin(), tenants_.end(), [](const auto& left, const auto& right) {
         return left.second.answered.size() < right.second.answered.size();
       });
-  forgetOldest(largest->second);
+  evictOldest(largest_tenant->second);
 }
 
 std::vector<std::shared_ptr<wire::TenantRequestsT>> RequestTable::save() const {
@@ -84,8 +84,8 @@
     tenant.forgotten_before = saved->forgotten_before;
     for (const auto& answered : saved->answered) {
       if (answered == nullptr || answered->reply == nullptr || answered->text_digest == nullptr) {
-        throw Error(ErrorKind::Corrupt, "an answered request of a snapshot lacks a part",
-                    "remove this replica's data folder and join it anew under a new identifier");
+        throw Error(ErrorKind::Corrupt, "an answered request in the snapshot is incomplete",
+                    "delete this replica's data folder and add the replica again under a new identifier");
       }
       tenant.answered.emplace(Key{requestTime(answered->request_id).value_or(0), answered->request_id},
                               answered);
--- a/src/store/state_machine.cpp
+++ b/src/store/state_machine.cpp
@@ -15,17 +15,19 @@
 namespace cometstand::store {
 namespace {
 
-// Deep enough for a batch of transactions; the bytes come from a replica's own log.
+// Limits for the FlatBuffers verifier. The depth suffices for a batch of transactions. The limits are
+// generous, because the bytes come from the replica's own log.
 constexpr flatbuffers::uoffset_t kMaxDepth = 64;
 constexpr flatbuffers::uoffset_t kMaxTables = 100'000'000;
 
 /// @throw Error(Corrupt)
 template <typename Table>
-const Table& verified(const std::vector<std::uint8_t>& bytes, const char* what) {
+const Table& verifiedRoot(const std::vector<std::uint8_t>& bytes, const char* what) {
   flatbuffers::Verifier verifier(bytes.data(), bytes.size(), kMaxDepth, kMaxTables);
   if (bytes.empty() || !verifier.VerifyBuffer<Table>(nullptr)) {
-    throw Error(ErrorKind::Corrupt, fmt::format("the {} cannot be read", what),
-                "run the same release on all replicas; else join this replica anew under a new identifier");
+    throw Error(
+        ErrorKind::Corrupt, fmt::format("the {} cannot be decoded", what),
+        "run the same release on all replicas; if that fails, add this replica again under a new identifier");
   }
   return *flatbuffers::GetRoot<Table>(bytes.data());
 }
@@ -37,7 +39,7 @@
   return {builder.GetBufferPointer(), builder.GetBufferPointer() + builder.GetSize()};
 }
 
-std::size_t bytesOf(const std::shared_ptr<const wire::ObjectT>& object) {
+std::size_t encodedBytes(const std::shared_ptr<const wire::ObjectT>& object) {
   return object == nullptr ? 0 : encode<wire::Object>(*object).size();
 }
 
@@ -49,7 +51,7 @@
 
 std::vector<CommandResult> StateMachine::apply(const std::vector<std::uint8_t>& batch) {
   wire::StoreCommandBatchT commands;
-  verified<wire::StoreCommandBatch>(batch, "log entry").UnPackTo(&commands);
+  verifiedRoot<wire::StoreCommandBatch>(batch, "log entry").UnPackTo(&commands);
   std::vector<CommandResult> results;
   results.reserve(commands.commands.size());
   for (const auto& command : commands.commands) results.push_back(applyOne(*command));
@@ -90,18 +92,18 @@
                                              "the credential changed while the change was on its way",
                                              "send the change again with the new token"));
   }
-  if (auto answer = requests_.answerFor(command)) return *std::move(answer);
-  wire::CommandReplyT reply = decideChange(command, *actor);
+  if (auto answer = requests_.findReply(command)) return *std::move(answer);
+  wire::CommandReplyT reply = executeChange(command, *actor);
   requests_.record(command, reply);
   return reply;
 }
 
-wire::CommandReplyT StateMachine::decideChange(const wire::ChangeCommandT& command,
-                                               const config::Actor& actor) {
+wire::CommandReplyT StateMachine::executeChange(const wire::ChangeCommandT& command,
+                                                const config::Actor& actor) {
   std::size_t bytes = 0;
   try {
     config::checkTransaction(catalog_, actor, *command.transaction);
-    bytes = bytesAfter(*command.transaction);
+    bytes = catalogBytesAfter(*command.transaction);
     if (bytes > kMaxCatalogBytes && bytes > catalog_bytes_) {
       throw Error(ErrorKind::Overloaded, fmt::format("the catalog would take {} bytes", bytes),
                   fmt::format("delete objects that are not needed; the limit is {} bytes", kMaxCatalogBytes));
@@ -118,11 +120,11 @@
   return reply;
 }
 
-std::size_t StateMachine::bytesAfter(const wire::TransactionT& transaction) const {
+std::size_t StateMachine::catalogBytesAfter(const wire::TransactionT& transaction) const {
   std::size_t bytes = catalog_bytes_;
   for (const auto& operation : transaction.operations) {
-    bytes += bytesOf(operation->object);
-    bytes -= bytesOf(catalog_.find(*operation->key));
+    bytes += encodedBytes(operation->object);
+    bytes -= encodedBytes(catalog_.find(*operation->key));
   }
   return bytes;
 }
@@ -161,8 +163,8 @@
   change->operator_name = command.operator_name;
   const auto& operations = command.transaction->operations;
   change->key_count = static_cast<std::uint32_t>(operations.size());
-  const std::size_t named = std::min(operations.size(), kMaxHistoryKeys);
-  for (std::size_t i = 0; i < named; ++i) change->keys.push_back(operations[i]->key);
+  const std::size_t listed_keys = std::min(operations.size(), kMaxHistoryKeys);
+  for (std::size_t i = 0; i < listed_keys; ++i) change->keys.push_back(operations[i]->key);
   history_.push_back(std::move(change));
   if (history_.size() > kMaxHistory) history_.pop_front();
 }
@@ -191,10 +193,10 @@
 
 void StateMachine::restore(const std::vector<std::uint8_t>& bytes) {
   wire::StoreStateT state;
-  verified<wire::StoreState>(bytes, "state of a snapshot").UnPackTo(&state);
+  verifiedRoot<wire::StoreState>(bytes, "snapshot state").UnPackTo(&state);
   catalog_.restore(state.version, state.pruned_version, state.changes);
   catalog_bytes_ = 0;
-  for (const auto& change : state.changes) catalog_bytes_ += bytesOf(change->object);
+  for (const auto& change : state.changes) catalog_bytes_ += encodedBytes(change->object);
   requests_.restore(state.requests);
   claims_.restore(state.claims);
   history_.assign(state.history.begin(), state.history.end());
--- a/src/store/state_machine.h
+++ b/src/store/state_machine.h
@@ -21,26 +21,28 @@
 
 namespace cometstand::store {
 
-/// Name of the first administrator's credential, of the tenant mesh. It is kept in settings, not in the
-/// state.
+/// Operator name of the first administrator, in the tenant "mesh". The credential is in the settings of each
+/// replica, not in the replicated state.
 inline constexpr const char* kBootstrapOperator = "bootstrap";
 
-/// What one StoreCommand came to: a CommandReply for a change, a ClaimReply for a claim or its end, a
-/// MeshChangeResult for a change of the whole mesh configuration, a RolloutResult for an order or a step of a
-/// roll-out, a QuarantineResult for a crash report, a clearance or a release of a content, an
-/// EvacuationResult for an order for a zone, a QuotaLeadershipResult for a record of a leadership.
+/// Result of one StoreCommand: CommandReply for a change, ClaimReply for the request or the end of a claim,
+/// MeshChangeResult for a change of the whole mesh configuration, RolloutResult for an order or a step of a
+/// roll-out, QuarantineResult for a crash report, a clearance or a release of quarantined content,
+/// EvacuationResult for the evacuation order of a zone, QuotaLeadershipResult for a leadership record of the
+/// quota.
 using CommandResult = std::variant<wire::CommandReplyT, wire::ClaimReplyT, MeshChangeResult, RolloutResult,
                                    QuarantineResult, EvacuationResult, QuotaLeadershipResult>;
 
-/// The replicated state: catalog, answered requests, claims, history. Owns no input or output and never looks
-/// at a clock or a random number: equal sequences of apply() give equal states and results on every replica.
-/// Driven by the committed log entries, one after another.
+/// The replicated state: catalog, answered requests, claims, mesh configuration, roll-outs, quarantine,
+/// evacuations, quota leadership and change history. Deterministic: it does no I/O and uses neither a clock
+/// nor random numbers, so that applying the committed log entries in order gives equal states and results on
+/// every replica.
 class StateMachine {
  public:
   /// Applies the commands of one log entry in order.
   /// @param batch bytes of a StoreCommandBatch.
-  /// @return one result a command.
-  /// @throw Error(Corrupt) if the bytes are no batch.
+  /// @return one result for each command.
+  /// @throw Error(Corrupt) if the bytes are not a valid batch.
   std::vector<CommandResult> apply(const std::vector<std::uint8_t>& batch);
 
   const config::Catalog& catalog() const { return catalog_; }
@@ -51,30 +53,30 @@
   const RolloutRegister& rollouts() const { return rollouts_; }
   const QuarantineRegister& quarantine() const { return quarantine_; }
   const EvacuationRegister& evacuations() const { return evacuations_; }
-  /// @return the newest accepted changes, the oldest first.
+  /// @return the latest accepted changes, oldest first.
   const std::deque<std::shared_ptr<wire::AcceptedChangeT>>& history() const { return history_; }
 
-  /// @return the state, its records shared with this object: cheap, for a SnapshotWriter.
+  /// Captures the state for a SnapshotWriter. Cheap, because the records are shared with this object.
   wire::StoreStateT capture() const;
   /// @return bytes of a StoreState; equal states give equal bytes.
   std::vector<std::uint8_t> save() const;
   /// Replaces the whole state.
-  /// @throw Error(Corrupt) if the bytes are no StoreState.
+  /// @throw Error(Corrupt) if the bytes are not a valid StoreState.
   void restore(const std::vector<std::uint8_t>& bytes);
 
  private:
   CommandResult applyOne(const wire::StoreCommandT& command);
   wire::CommandReplyT applyChange(const wire::ChangeCommandT& command);
-  wire::CommandReplyT decideChange(const wire::ChangeCommandT& command, const config::Actor& actor);
+  wire::CommandReplyT executeChange(const wire::ChangeCommandT& command, const config::Actor& actor);
   std::optional<config::Actor> actorOf(const wire::ChangeCommandT& command) const;
   template <typename ClaimCommand, typename Action>
   wire::ClaimReplyT applyClaim(const ClaimCommand& command, Action action);
-  /// @return bytes of the catalog's objects if the transaction is applied.
-  std::size_t bytesAfter(const wire::TransactionT& transaction) const;
+  /// @return the encoded size of the catalog's objects after the transaction.
+  std::size_t catalogBytesAfter(const wire::TransactionT& transaction) const;
   void addHistory(const wire::ChangeCommandT& command, std::uint64_t version);
 
   config::Catalog catalog_;
-  /// Bytes of the objects in the catalog.
+  /// Encoded size of the objects in the catalog.
   std::size_t catalog_bytes_ = 0;
   RequestTable requests_;
   ClaimTable claims_;
@@ -86,7 +88,7 @@
   std::deque<std::shared_ptr<wire::AcceptedChangeT>> history_;
 };
 
-/// @return the bytes of a log entry.
+/// @return the batch encoded as the payload of a log entry.
 std::vector<std::uint8_t> encodeBatch(const wire::StoreCommandBatchT& batch);
 
 }  // namespace cometstand::store
--- a/src/store/store_context.h
+++ b/src/store/store_context.h
@@ -13,7 +13,7 @@
 
 namespace cometstand::store {
 
-/// What the parts of one replica share. All references outlive the parts.
+/// State and services shared by the components of one replica. All references outlive the components.
 struct StoreContext {
   const StoreOptions& options;
   runtime::ActionQueue& actions;
@@ -24,13 +24,13 @@
   StoreMetrics& metrics;
 
   bool isLeader() const { return consensus.leadership().role == consensus::Role::Leader; }
-  /// @return where the leader listens, which may be this replica; nothing while none is known.
+  /// @return the address of the leader, which may be this replica; nullopt while no leader is known.
   std::optional<runtime::Address> leader() const;
-  /// @return the same, but nothing if this replica leads.
+  /// @return the address of the leader; nullopt if no leader is known or this replica is the leader.
   std::optional<runtime::Address> otherLeader() const;
 };
 
-/// Who waits for the answer to a request.
+/// Destination of the reply to a request: the link it came by and its id on that link.
 struct Asker {
   runtime::LinkId link{};
   std::uint64_t request_id = 0;
--- a/tests/store/command_test.cpp
+++ b/tests/store/command_test.cpp
@@ -1,4 +1,4 @@
-// Operators' commands against three replicas in memory.
+// Operators' commands to a cluster of three replicas on an in-memory network.
 #include <catch2/catch.hpp>
 
 #include "net/frame_codec.h"
@@ -12,7 +12,7 @@
 
 std::size_t otherThan(std::size_t replica) { return (replica + 1) % 3; }
 
-/// Waits until all running replicas applied the same, and compares their states byte for byte.
+/// Waits until the encoded states of all three replicas are equal byte for byte.
 void requireEqualStates(Trio& trio) {
   const auto is_equal = [&] {
     for (std::size_t i = 1; i < 3; ++i) {
@@ -35,7 +35,7 @@
   REQUIRE(trio.run(leader, "show tenants").rows.at(0)->cells.at(0) == "wspolnota");
 }
 
-TEST_CASE("of two changes that build on one version the first is accepted") {
+TEST_CASE("of two changes with the same expected version only the first is accepted") {
   Trio trio;
   trio.begin();
   REQUIRE(trio.run(0, "change { put tenant wspolnota }").version == 1);
@@ -43,48 +43,48 @@
   const auto two = trio.send(1, Trio::command("change if version 1 { put tenant studio }", trio.nextId()));
   const auto first = trio.answer(one);
   const auto second = trio.answer(two);
-  const bool first_won = first.outcome == wire::Outcome::Completed;
-  const auto& loser = first_won ? second : first;
-  REQUIRE((first_won ? first : second).version == 2);
-  REQUIRE(loser.outcome == wire::Outcome::NotRun);
-  REQUIRE(kindOf(loser) == ErrorKind::Conflict);
-  REQUIRE(loser.error->message.find("current version is 2") != std::string::npos);
+  const bool first_accepted = first.outcome == wire::Outcome::Completed;
+  const auto& refused = first_accepted ? second : first;
+  REQUIRE((first_accepted ? first : second).version == 2);
+  REQUIRE(refused.outcome == wire::Outcome::NotRun);
+  REQUIRE(kindOf(refused) == ErrorKind::Conflict);
+  REQUIRE(refused.error->message.find("current version is 2") != std::string::npos);
   REQUIRE(trio.run(2, "show tenants").rows.size() == 2);
 }
 
-TEST_CASE("a resend after a lost answer gets the first answer") {
+TEST_CASE("a retry after a lost reply gets the reply to the first attempt") {
   Trio trio;
   trio.begin();
   const auto id = trio.nextId();
   const auto request = Trio::command("change { put tenant wspolnota }", id);
-  const auto lost = trio.send(0, request);
+  const auto lost_client = trio.send(0, request);
   REQUIRE(
       trio.network.runUntil([&] { return trio.network.core(0).stateMachine().catalog().version() == 1; }));
-  trio.network.disconnect(lost);
+  trio.network.disconnect(lost_client);
   REQUIRE(trio.run(1, "change { put tenant fundacja }").version == 2);
   REQUIRE(trio.answer(trio.send(2, request)).version == 1);
 
-  SECTION("also from a new leader") {
+  SECTION("a new leader gives the same reply") {
     trio.network.crash(*trio.network.leader());
     const auto leader = trio.waitForLeader();
     REQUIRE(trio.answer(trio.send(leader, request)).version == 1);
     REQUIRE(trio.network.core(leader).stateMachine().catalog().version() == 2);
   }
-  SECTION("another command under the identifier is refused") {
+  SECTION("another command with the same request identifier is refused") {
     const auto reply = trio.answer(trio.send(0, Trio::command("change { put tenant studio }", id)));
     REQUIRE(reply.outcome == wire::Outcome::NotRun);
     REQUIRE(kindOf(reply) == ErrorKind::Mismatch);
   }
 }
 
-TEST_CASE("a leader that loses its quorum after the append answers unknown, and the resend finds out") {
+TEST_CASE("a leader that loses its quorum after the append replies unknown, and a retry gets the outcome") {
   const std::uint64_t seed = GENERATE(1, 2, 3, 4, 5);
   Trio trio(seed);
   trio.begin();
   const auto old_leader = trio.waitForLeader();
   const auto request = Trio::command("change { put tenant wspolnota }", trio.nextId());
   const auto client = trio.send(old_leader, request);
-  // Seeds differ in how far the entry gets before the cut.
+  // The delay before the partition varies with the seed, and with it how far the entry is replicated.
   trio.network.runFor(milliseconds(seed));
   trio.network.cut(old_leader);
   const auto reply = trio.answer(client);
@@ -99,18 +99,18 @@
   REQUIRE(trio.network.core(leader).stateMachine().catalog().version() == 1);
 }
 
-TEST_CASE("a leader that was frozen answers nothing from its stale state") {
+TEST_CASE("a leader that was suspended does not reply from its stale state") {
   Trio trio;
   trio.begin();
   const auto old_leader = trio.waitForLeader();
   REQUIRE(trio.run(old_leader, "change { put tenant wspolnota }").version == 1);
-  // It also hears nothing of the new leader once it wakes up.
+  // The partition also keeps the new leader's messages from the old one after it resumes.
   trio.network.cut(old_leader);
   trio.network.freeze(old_leader);
   REQUIRE(
       trio.network.runUntil([&] { return trio.network.leader() && *trio.network.leader() != old_leader; }));
   REQUIRE(trio.run(*trio.network.leader(), "change { delete tenant wspolnota }").version == 2);
-  // These wait in its socket when it wakes up.
+  // These requests are in the old leader's socket buffer when it resumes.
   const auto query = trio.send(old_leader, Trio::command("show tenants", trio.nextId()));
   auto wrong = Trio::command("show tenants", trio.nextId());
   wrong.token = "wrong";
@@ -121,7 +121,7 @@
   REQUIRE(kindOf(trio.answer(refusal)) == ErrorKind::Unavailable);
 }
 
-TEST_CASE("a leader that is cut off soon stops answering queries") {
+TEST_CASE("a partitioned leader refuses queries") {
   Trio trio;
   trio.begin();
   const auto old_leader = trio.waitForLeader();
@@ -132,7 +132,7 @@
   REQUIRE(reply.error->retry_after_ms > 0);
 }
 
-TEST_CASE("all replicas recover from their disks") {
+TEST_CASE("after a restart of all replicas the state is recovered from disk") {
   Trio trio;
   trio.begin();
   const auto request = Trio::command("change { put tenant wspolnota }", trio.nextId());
@@ -143,17 +143,17 @@
   REQUIRE(trio.run(0, "show version").version == 1);
 }
 
-TEST_CASE("a replica that was away takes a snapshot and equals the others") {
+TEST_CASE("a replica that missed compacted log entries catches up by a snapshot") {
   Trio trio;
   for (std::size_t i = 0; i < 3; ++i) {
     trio.network.options(i).consensus.snapshot_after_log_bytes = 4096;
     trio.network.options(i).consensus.entries_kept_after_snapshot = 0;
   }
   trio.begin();
-  const auto away = otherThan(trio.waitForLeader());
+  const auto lagging = otherThan(trio.waitForLeader());
   const auto early = Trio::command("change { put tenant early }", trio.nextId());
   REQUIRE(trio.answer(trio.send(0, early)).version == 1);
-  trio.network.crash(away);
+  trio.network.crash(lagging);
   const auto leader = trio.waitForLeader();
   for (int i = 0; i < 40; ++i) {
     const bool deletes = i % 3 == 2;
@@ -161,19 +161,19 @@
     REQUIRE(trio.run(leader, "change { " + std::string(deletes ? "delete" : "put") + " tenant " + name + " }")
                 .outcome == wire::Outcome::Completed);
   }
-  trio.network.start(away);
+  trio.network.start(lagging);
   requireEqualStates(trio);
   StateMachine restored;
   const auto bytes = trio.network.core(leader).stateMachine().save();
   restored.restore(bytes);
   REQUIRE(restored.save() == bytes);
-  // The answer is long gone from the logs.
+  // The logs no longer hold the change, so the reply has to come from the snapshot.
   for (std::size_t i = 0; i < 3; ++i) trio.network.crash(i);
   trio.begin();
-  REQUIRE(trio.answer(trio.send(away, early)).version == 1);
+  REQUIRE(trio.answer(trio.send(lagging, early)).version == 1);
 }
 
-TEST_CASE("a planned stop of the leader cuts no command and hands leadership over") {
+TEST_CASE("a graceful shutdown of the leader completes accepted commands and transfers leadership") {
   Trio trio;
   trio.begin();
   const auto old_leader = trio.waitForLeader();
@@ -183,7 +183,7 @@
     clients.push_back(trio.send(
         old_leader, Trio::command("change { put tenant t" + std::to_string(i) + " }", trio.nextId())));
   }
-  // The links are open and the commands arrive.
+  // Leaves time for the links to open and the commands to arrive.
   trio.network.runFor(milliseconds(2));
   trio.network.beginStop(old_leader);
   REQUIRE(trio.network.runUntil([&] { return trio.network.core(old_leader).stopped(); }, seconds(2)));
@@ -192,41 +192,42 @@
   REQUIRE(trio.waitForLeader() != old_leader);
 }
 
-TEST_CASE("a leader that stops does not hand over to a replica that is gone") {
-  // How long the other one has been gone: longer and shorter than a heartbeat.
-  const auto gone_for = GENERATE(milliseconds(200), milliseconds(1));
+TEST_CASE("a leader that shuts down does not transfer leadership to a crashed replica") {
+  // Time since the crash of the other replica: longer and shorter than the heartbeat interval.
+  const auto time_since_crash = GENERATE(milliseconds(200), milliseconds(1));
   Trio trio;
   trio.begin();
   const auto old_leader = trio.waitForLeader();
-  // Of equals the first voter would be chosen.
-  const std::size_t gone = old_leader == 0 ? 1 : 0;
-  trio.network.crash(gone);
-  trio.network.runFor(gone_for);
+  // Leadership would be transferred to the first of equally suitable voters, so that one crashes.
+  const std::size_t crashed = old_leader == 0 ? 1 : 0;
+  trio.network.crash(crashed);
+  trio.network.runFor(time_since_crash);
   trio.network.beginStop(old_leader);
   REQUIRE(trio.network.runUntil([&] { return trio.network.core(old_leader).stopped(); },
-                                gone_for > milliseconds(50) ? milliseconds(100) : seconds(2)));
+                                time_since_crash > milliseconds(50) ? milliseconds(100) : seconds(2)));
   REQUIRE(trio.network.runUntil([&] { return trio.network.leader().has_value(); }));
-  REQUIRE(*trio.network.leader() == 3 - old_leader - gone);
+  REQUIRE(*trio.network.leader() == 3 - old_leader - crashed);
 }
 
-TEST_CASE("leadership is transferred on command, and a replica that the new leader never heard is silent") {
+TEST_CASE(
+    "leadership is transferred on command; a replica that never responded to the new leader is silent") {
   Trio trio;
   trio.begin();
   const auto old_leader = trio.waitForLeader();
   const auto target = otherThan(old_leader);
-  const auto gone = otherThan(target);
-  trio.network.crash(gone);
+  const auto crashed = otherThan(target);
+  trio.network.crash(crashed);
   const auto reply = trio.run(old_leader, "transfer leader to " + std::to_string(target + 1));
   REQUIRE(reply.outcome == wire::Outcome::Completed);
   REQUIRE(trio.network.leader() == target);
   const auto replicas = trio.run(target, "show replicas");
-  REQUIRE(replicas.rows.at(gone)->cells.back() == "silent");
+  REQUIRE(replicas.rows.at(crashed)->cells.back() == "silent");
   REQUIRE(replicas.rows.at(old_leader)->cells.back() == "active");
   REQUIRE(replicas.rows.at(target)->cells.at(4) == "leader");
   REQUIRE(kindOf(trio.run(target, "transfer leader to 9")) == ErrorKind::NotFound);
 }
 
-TEST_CASE("an administrator sees what is quarantined, and cannot release what is not held") {
+TEST_CASE("show quarantine is empty without quarantined content, and releasing unknown content fails") {
   Trio trio;
   trio.begin();
   const auto leader = trio.waitForLeader();
@@ -237,7 +238,7 @@
           ErrorKind::NotFound);
 }
 
-TEST_CASE("one tenant's commands cannot keep another's out of the log") {
+TEST_CASE("a tenant that floods the command queue cannot block the commands of another tenant") {
   Trio trio;
   for (std::size_t i = 0; i < 3; ++i) {
     trio.network.options(i).max_commands_waiting = 40;
@@ -272,7 +273,7 @@
   REQUIRE(replies[100].error->retry_after_ms > 0);
 }
 
-TEST_CASE("credentials bind operators to their tenant, and no answer holds a secret") {
+TEST_CASE("credentials restrict operators to their tenant, and no reply contains a secret") {
   Trio trio;
   trio.begin();
   const std::string secret = "Sesame-Street-42";
@@ -302,7 +303,7 @@
           ErrorKind::Unauthenticated);
   REQUIRE(kindOf(as_anna("change { put secret fundacja/key value \"" + secret + "\" }")) ==
           ErrorKind::Forbidden);
-  // This answer names what the operator named.
+  // Excludes this reply from the check below: its error repeats the tenant name in the operator's command.
   clients.pop_back();
   REQUIRE(kindOf(as_anna("change { put secret key value \"" + secret + "\" oops }")) == ErrorKind::Malformed);
   REQUIRE(kindOf(as_anna("change { put route r path /a to nowhere secret key; put secret k2 value \"" +
--- a/tests/store/state_machine_test.cpp
+++ b/tests/store/state_machine_test.cpp
@@ -1,4 +1,4 @@
-// What the replicated state decides by itself, whoever leads.
+// Decisions of the replicated state machine that do not depend on which replica is the leader.
 #include "store/state_machine.h"
 
 #include <catch2/catch.hpp>
@@ -42,7 +42,7 @@
   return config::test::put(wire::ObjectKind::Credential, std::string(config::kMeshTenant), "anna", spec);
 }
 
-TEST_CASE("a change whose credential was replaced while it was on its way is not run") {
+TEST_CASE("a change is not applied if its credential was replaced before its log position") {
   StateMachine state;
   REQUIRE(change(state, "1-b", kBootstrapOperator, 0, {credential(1)}).version == 1);
   REQUIRE(change(state, "1-c", "anna", 1, {config::test::putTenant("napisy")}).version == 2);
@@ -53,7 +53,7 @@
   CHECK(state.catalog().version() == 3);
 }
 
-TEST_CASE("claims and answered requests outlast a snapshot") {
+TEST_CASE("claims and answered requests are kept across a snapshot") {
   StateMachine state;
   change(state, "1-a", kBootstrapOperator, 0, {config::test::putTenant("napisy")});
   wire::ClaimRequestT claim;
--- a/tests/store/tables_test.cpp
+++ b/tests/store/tables_test.cpp
@@ -1,4 +1,4 @@
-// Pruning rules of the replicated tables.
+// Eviction policies of the replicated tables, and snapshots written in slices.
 #include <catch2/catch.hpp>
 
 #include "base/error.h"
@@ -39,28 +39,28 @@
   return request;
 }
 
-TEST_CASE("a forgotten request identifier is unknown and never new") {
+TEST_CASE("an evicted request identifier gets the outcome unknown and does not count as new") {
   RequestTable table(3, 5);
   for (std::uint64_t time = 1; time <= 5; ++time) table.record(change("a", time), {});
-  REQUIRE(table.answerFor(change("a", 1))->outcome == wire::Outcome::Unknown);
-  REQUIRE(table.answerFor(change("a", 2))->outcome == wire::Outcome::Unknown);
-  REQUIRE(table.answerFor(change("a", 3))->outcome == wire::Outcome::Completed);
-  REQUIRE_FALSE(table.answerFor(change("a", 6)).has_value());
-  // Another tenant's table is its own, and the largest gives way.
-  REQUIRE_FALSE(table.answerFor(change("b", 1)).has_value());
+  REQUIRE(table.findReply(change("a", 1))->outcome == wire::Outcome::Unknown);
+  REQUIRE(table.findReply(change("a", 2))->outcome == wire::Outcome::Unknown);
+  REQUIRE(table.findReply(change("a", 3))->outcome == wire::Outcome::Completed);
+  REQUIRE_FALSE(table.findReply(change("a", 6)).has_value());
+  // Eviction for one tenant does not affect another; beyond the total, the largest tenant is evicted from.
+  REQUIRE_FALSE(table.findReply(change("b", 1)).has_value());
   for (std::uint64_t time = 1; time <= 3; ++time) table.record(change("b", time), {});
   REQUIRE(table.size() == 5);
-  REQUIRE(table.answerFor(change("a", 3))->outcome == wire::Outcome::Unknown);
+  REQUIRE(table.findReply(change("a", 3))->outcome == wire::Outcome::Unknown);
   RequestTable restored(3, 5);
   restored.restore(table.save());
-  REQUIRE(restored.answerFor(change("a", 3))->outcome == wire::Outcome::Unknown);
-  REQUIRE(restored.answerFor(change("b", 3))->outcome == wire::Outcome::Completed);
+  REQUIRE(restored.findReply(change("a", 3))->outcome == wire::Outcome::Unknown);
+  REQUIRE(restored.findReply(change("b", 3))->outcome == wire::Outcome::Completed);
 }
 
-TEST_CASE("claims in progress are never dropped; finished ones and answers are bounded") {
+TEST_CASE("claims in progress are never evicted; finished claims and recorded responses are bounded") {
   ClaimTable::Bounds bounds;
   bounds.in_progress_per_tenant = 2;
-  // "key-N" and "attempt".
+  // The lengths of "key-N" and of "attempt".
   const std::size_t claim_bytes = 5 + 7 + kClaimRecordBytes;
   bounds.finished_bytes_per_tenant = 3 * claim_bytes;
   bounds.finished_bytes_total = 5 * claim_bytes;
@@ -81,7 +81,7 @@
   auto other = claim("c", 3);
   other.attempt = "other";
   REQUIRE(table.request(other).answer != nullptr);
-  // Its answer was dropped, but not that it completed.
+  // The recorded response of this claim was dropped, but the claim stays Completed.
   other.key = "key-1";
   REQUIRE(table.request(other).state == wire::ClaimState::Completed);
   REQUIRE(table.request(other).answer == nullptr);
@@ -92,7 +92,7 @@
   REQUIRE(restored.request(other).answer == nullptr);
 }
 
-TEST_CASE("a snapshot in slices holds the state from when it began") {
+TEST_CASE("a snapshot written in slices contains the state at its start") {
   StateMachine state;
   const auto apply = [&state](const std::string& tenant, std::uint64_t time) {
     auto command = change("mesh", time);
@@ -117,7 +117,7 @@
   };
   apply("t1", 1);
   apply("t2", 2);
-  const auto whole = state.save();
+  const auto state_at_start = state.save();
   SnapshotWriter writer(state.capture());
   std::uint64_t time = 3;
   while (!writer.step(1)) {
@@ -125,8 +125,8 @@
     ++time;
   }
   REQUIRE(time > 6);
-  REQUIRE(writer.take() == whole);
-  REQUIRE(state.save() != whole);
+  REQUIRE(writer.take() == state_at_start);
+  REQUIRE(state.save() != state_at_start);
 }
 
 }  // namespace
