--- a/src/store/cluster_formation.cpp
+++ b/src/store/cluster_formation.cpp
@@ -12,9 +12,9 @@
 namespace cometstand::store {
 namespace {
 
-/// The term that Consensus::bootstrap() stores; elections raise it.
+/// The term that Consensus::bootstrap() stores. A higher term shows that an election has taken place.
 constexpr consensus::Term kBootstrapTerm = 1;
-constexpr Duration kAskInterval = std::chrono::milliseconds(100);
+constexpr Duration kRequestInterval = std::chrono::milliseconds(100);
 constexpr Duration kLogInterval = std::chrono::seconds(10);
 
 }  // namespace
@@ -24,41 +24,41 @@
   return leadership.role == consensus::Role::Joining ? 0 : leadership.term;
 }
 
-bool ClusterFormation::isAsking() const {
+bool ClusterFormation::isWaitingForReplies() const {
   if (!context_.options.seeds.empty()) return false;
-  return context_.options.bootstrap && !cluster_runs_ && storedTerm() <= kBootstrapTerm &&
-         (storedTerm() == 0 || holdsElections());
+  return context_.options.bootstrap && !cluster_exists_ && storedTerm() <= kBootstrapTerm &&
+         (storedTerm() == 0 || defersElections());
 }
 
-bool ClusterFormation::holdsElections() const {
-  if (!context_.options.bootstrap || cluster_runs_ || storedTerm() != kBootstrapTerm) return false;
+bool ClusterFormation::defersElections() const {
+  if (!context_.options.bootstrap || cluster_exists_ || storedTerm() != kBootstrapTerm) return false;
   const auto& voters = context_.options.initial_voters;
   return !std::all_of(voters.begin(), voters.end(), [this](const wire::ReplicaT& voter) {
-    const auto answer = answers_.find(voter.id);
+    const auto reply = replies_.find(voter.id);
     return voter.id == context_.options.self.id ||
-           (answer != answers_.end() && answer->second >= kBootstrapTerm);
+           (reply != replies_.end() && reply->second >= kBootstrapTerm);
   });
 }
 
 void ClusterFormation::begin(TimePoint now) {
   if (!context_.options.seeds.empty()) return;
-  ask_at_ = now;
-  log_at_ = now + kLogInterval;
+  next_request_at_ = now;
+  next_log_at_ = now + kLogInterval;
   bootstrapIfAgreed(now);
 }
 
-void ClusterFormation::onRequest(const Asker& asker) {
+void ClusterFormation::onRequest(const Asker& requester) {
   wire::FormationReplyT reply;
   reply.replica = context_.options.self.id;
   reply.term = storedTerm();
-  context_.actions.send(asker.link, reply, asker.request_id);
+  context_.actions.send(requester.link, reply, requester.request_id);
 }
 
 void ClusterFormation::onReply(const wire::FormationReplyT& reply, TimePoint now) {
-  if (!isAsking()) return;
-  answers_[reply.replica] = reply.term;
+  if (!isWaitingForReplies()) return;
+  replies_[reply.replica] = reply.term;
   if (reply.term > kBootstrapTerm) {
-    cluster_runs_ = true;
+    cluster_exists_ = true;
     if (storedTerm() == 0)
       logEvent(kBootstrapRefused, {{"replica", context_.options.self.id}, {"term", reply.term}});
     return;
@@ -67,31 +67,31 @@
 }
 
 void ClusterFormation::bootstrapIfAgreed(TimePoint now) {
-  if (!context_.options.bootstrap || cluster_runs_ || storedTerm() != 0) return;
+  if (!context_.options.bootstrap || cluster_exists_ || storedTerm() != 0) return;
   wire::MembershipT membership;
   for (const auto& voter : context_.options.initial_voters) {
-    if (voter.id != context_.options.self.id && !answers_.contains(voter.id)) return;
+    if (voter.id != context_.options.self.id && !replies_.contains(voter.id)) return;
     membership.voters.push_back(std::make_shared<wire::ReplicaT>(voter));
   }
   context_.consensus.bootstrap(membership, now);
 }
 
 void ClusterFormation::onTimer(TimePoint now) {
-  if (!isAsking() || now < ask_at_) return;
-  ask_at_ = now + kAskInterval;
-  logWaiting(now);
+  if (!isWaitingForReplies() || now < next_request_at_) return;
+  next_request_at_ = now + kRequestInterval;
+  logMissingVoters(now);
   for (const auto& voter : context_.options.initial_voters) {
     if (const auto link = replicas_.linkTo(voter.id))
       context_.actions.send(*link, wire::FormationRequestT(), 0);
   }
 }
 
-void ClusterFormation::logWaiting(TimePoint now) {
-  if (now < log_at_) return;
-  log_at_ = now + kLogInterval;
+void ClusterFormation::logMissingVoters(TimePoint now) {
+  if (now < next_log_at_) return;
+  next_log_at_ = now + kLogInterval;
   std::vector<consensus::ReplicaId> missing;
   for (const auto& voter : context_.options.initial_voters) {
-    if (voter.id != context_.options.self.id && !answers_.contains(voter.id)) missing.push_back(voter.id);
+    if (voter.id != context_.options.self.id && !replies_.contains(voter.id)) missing.push_back(voter.id);
   }
   logEvent(kFormationWaiting,
            {{"replica", context_.options.self.id}, {"missing", fmt::format("{}", fmt::join(missing, ","))}});
--- a/src/store/cluster_formation.h
+++ b/src/store/cluster_formation.h
@@ -8,48 +8,48 @@
 
 namespace cometstand::store {
 
-/// First start of a cluster. A replica that is asked to bootstrap and finds its folder empty may be a first
-/// voter, or one that lost its disk and must never vote as its old self. It asks all other first voters:
+/// Bootstraps a cluster with a fixed list of initial voters. A replica with the bootstrap flag and an empty
+/// data folder is either an initial voter on its first start, or a voter that lost its disk. The latter must
+/// not vote under its old identifier, because it no longer knows its earlier votes and log entries. The
+/// replica therefore requests the stored term of every other initial voter:
 ///
-/// - It bootstraps only once each answered that its folder is empty, or that it has bootstrapped and no
-/// election
-///   was held. An answer from after an election means that the cluster runs: then the replica only waits to
-///   be added under a new identifier.
-/// - Once bootstrapped, it begins no election before every first voter has bootstrapped. So an election
-/// proves
-///   that no first voter's folder is rightly empty.
+/// - It bootstraps only after each initial voter has replied that its data folder is empty, or that it has
+///   bootstrapped and no election has taken place. A reply with a higher term means that the cluster already
+///   exists. The replica then does not bootstrap and waits to be added under a new identifier.
+/// - A bootstrapped replica starts no election until every initial voter has bootstrapped. After the first
+///   election, an initial voter with an empty data folder has therefore lost its disk.
 ///
-/// The first start therefore needs all first voters; later ones need a quorum.
+/// The first start therefore needs all initial voters. Later starts need a quorum.
 class ClusterFormation {
  public:
   ClusterFormation(StoreContext& context, const ReplicaLinks& replicas)
       : context_(context), replicas_(replicas) {}
 
-  /// To be called once the consensus module recovered.
+  /// Must be called after the consensus module has recovered its state from disk.
   void begin(TimePoint now);
-  /// Another replica asks for what this one's folder holds.
-  void onRequest(const Asker& asker);
+  /// Replies to another replica with the term stored in this replica's data folder.
+  void onRequest(const Asker& requester);
   void onReply(const wire::FormationReplyT& reply, TimePoint now);
   /// @return true while this replica must not begin an election.
-  bool holdsElections() const;
+  bool defersElections() const;
   void onTimer(TimePoint now);
-  TimePoint nextTimer() const { return isAsking() ? ask_at_ : TimePoint::max(); }
+  TimePoint nextTimer() const { return isWaitingForReplies() ? next_request_at_ : TimePoint::max(); }
 
  private:
-  /// The term on this replica's disk; 0 for an empty folder.
+  /// @return the term stored on this replica's disk; 0 if the data folder is empty.
   consensus::Term storedTerm() const;
-  bool isAsking() const;
+  bool isWaitingForReplies() const;
   void bootstrapIfAgreed(TimePoint now);
-  /// Names the first voters without an answer, once in a while.
-  void logWaiting(TimePoint now);
+  /// Logs the initial voters that have not replied, at most once per kLogInterval.
+  void logMissingVoters(TimePoint now);
 
   StoreContext& context_;
   const ReplicaLinks& replicas_;
-  /// First voters whose term was not above the bootstrap term, with that term.
-  std::map<consensus::ReplicaId, consensus::Term> answers_;
-  bool cluster_runs_ = false;
-  TimePoint ask_at_;
-  TimePoint log_at_;
+  /// Stored terms that the other initial voters last reported.
+  std::map<consensus::ReplicaId, consensus::Term> replies_;
+  bool cluster_exists_ = false;
+  TimePoint next_request_at_;
+  TimePoint next_log_at_;
 };
 
 }  // namespace cometstand::store
--- a/src/store/main_store.cpp
+++ b/src/store/main_store.cpp
@@ -1,4 +1,4 @@
-// cometstand-store: one replica of the configuration store.
+// Entry point of cometstand-store, one replica of the configuration store.
 #include "admin/program_host.h"
 #include "base/random.h"
 #include "settings/program.h"
@@ -11,7 +11,8 @@
 using namespace cometstand;
 
 constexpr settings::ProgramInfo kProgram{
-    "cometstand-store", "One replica of the store that accepts, orders and keeps the configuration."};
+    "cometstand-store",
+    "One replica of the configuration store, which replicates the configuration of the mesh."};
 
 int runStore(store::StoreSettings& store) {
   store::completeStoreOptions(store);
--- a/src/store/membership_manager.cpp
+++ b/src/store/membership_manager.cpp
@@ -11,18 +11,20 @@
 namespace {
 
 constexpr Duration kStepInterval = std::chrono::milliseconds(100);
-/// A replica that still wants to join asks several times in this time.
+/// Join requests older than this are dropped. A joining replica sends several requests within this time.
 constexpr Duration kCandidateLifetime = std::chrono::seconds(1);
-constexpr Duration kSilentLearnerLimit = std::chrono::seconds(20);
-/// After this time a silent voter gives its place to a learner of any zone. Until then only to one with which
-/// the voters outlast the tolerated zone losses as before: a zone without power comes back with its disks,
-/// and if its voters had been replaced by those of another zone, that one's disks could hold the only copies.
-/// Reckoned: longer than a zone is usually away, shorter than the wait for another machine in its place.
-constexpr Duration kSilentZonePatience = std::chrono::seconds(60);
-/// All voters are heard for this long before one is replaced for the spread's sake: a replacement while a
-/// voter is away would leave a smaller margin, and a new leader takes all for heard at first. Reckoned:
-/// several election timeouts.
-constexpr Duration kSteadyTime = std::chrono::seconds(1);
+constexpr Duration kSilentLearnerTimeout = std::chrono::seconds(20);
+/// Time after which an unresponsive voter may be replaced by a learner of any zone. Before that, only by a
+/// learner with which the voters still survive the tolerated zone losses: a zone without power returns with
+/// its disks intact, and if its voters had been replaced by voters in another zone, the disks of that zone
+/// could hold the only copies of committed entries. The time is longer than a typical zone outage and shorter
+/// than the time to provide a new machine.
+constexpr Duration kSilentZoneReplaceDelay = std::chrono::seconds(60);
+/// Time for which all voters must have been active before one is replaced to improve the spread over the
+/// zones. A replacement while a voter is down would reduce the number of further failures that the cluster
+/// survives, and a new leader at first counts every voter as active. The time covers several election
+/// timeouts.
+constexpr Duration kAllVotersActiveTime = std::chrono::seconds(1);
 
 using consensus::MembershipChange;
 using consensus::MembershipChangeKind;
@@ -46,21 +48,21 @@
 }
 
 void MembershipManager::onLeadershipChanged(TimePoint now) {
-  heard_at_.clear();
-  voter_missed_at_ = now;
-  step_at_ = now;
+  last_contact_.clear();
+  voter_inactive_at_ = now;
+  next_step_at_ = now;
 }
 
 TimePoint MembershipManager::nextTimer() const {
-  return enabled() && context_.isLeader() ? step_at_ : TimePoint::max();
+  return enabled() && context_.isLeader() ? next_step_at_ : TimePoint::max();
 }
 
 void MembershipManager::onTimer(TimePoint now) {
-  if (!enabled() || !context_.isLeader() || now < step_at_) return;
-  step_at_ = now + kStepInterval;
+  if (!enabled() || !context_.isLeader() || now < next_step_at_) return;
+  next_step_at_ = now + kStepInterval;
   std::erase_if(candidates_,
-                [now](const auto& item) { return item.second.asked_at + kCandidateLifetime < now; });
-  noteActivity(now);
+                [now](const auto& item) { return item.second.requested_at + kCandidateLifetime < now; });
+  updateLastContact(now);
   const auto change = nextChange(now);
   if (!change) return;
   try {
@@ -70,23 +72,23 @@
                                {"replaced", change->replaced},
                                {"index", index}});
   } catch (const Error&) {
-    // Another change is running, or the learner has not caught up: tried again by the next step.
+    // Another change is in progress or the learner has not caught up. The next step tries again.
   }
 }
 
-void MembershipManager::noteActivity(TimePoint now) {
+void MembershipManager::updateLastContact(TimePoint now) {
   for (const auto& follower : context_.consensus.followers()) {
-    // A replica that has just been added counts as heard once.
-    const auto known = heard_at_.try_emplace(follower.id, now).first;
-    if (follower.is_active) known->second = now;
-    if (!follower.is_active && !follower.is_learner) voter_missed_at_ = now;
+    // The time of the last contact of a newly added replica starts at the time of its addition.
+    const auto contact = last_contact_.try_emplace(follower.id, now).first;
+    if (follower.is_active) contact->second = now;
+    if (!follower.is_active && !follower.is_learner) voter_inactive_at_ = now;
   }
 }
 
 bool MembershipManager::isSilent(ReplicaId id, Duration time, TimePoint now) const {
   if (id == context_.options.self.id) return false;
-  const auto heard = heard_at_.find(id);
-  return heard != heard_at_.end() && heard->second + time <= now;
+  const auto contact = last_contact_.find(id);
+  return contact != last_contact_.end() && contact->second + time <= now;
 }
 
 bool MembershipManager::isActive(ReplicaId id) const {
@@ -110,11 +112,11 @@
     if (isActive(learner->id)) learners.push_back(learner.get());
   }
   if (context_.options.tolerated_zone_losses == 0) return learners;
-  wire::MembershipT heard;
+  wire::MembershipT responsive;
   for (const auto& voter : membership.voters) {
-    if (!isSilent(voter->id, context_.options.replace_silent_after, now)) heard.voters.push_back(voter);
+    if (!isSilent(voter->id, context_.options.replace_silent_after, now)) responsive.voters.push_back(voter);
   }
-  auto voters = votersByZone(heard);
+  auto voters = votersByZone(responsive);
   std::stable_sort(learners.begin(), learners.end(), [&voters](const auto* left, const auto* right) {
     return voters[left->zone] < voters[right->zone];
   });
@@ -123,33 +125,34 @@
 
 std::optional<MembershipChange> MembershipManager::changeForSpread(const wire::MembershipT& membership,
                                                                    TimePoint now) const {
-  const auto zones = context_.options.tolerated_zone_losses;
-  if (zones == 0 || now < voter_missed_at_ + kSteadyTime) return std::nullopt;
+  const auto zone_losses = context_.options.tolerated_zone_losses;
+  if (zone_losses == 0 || now < voter_inactive_at_ + kAllVotersActiveTime) return std::nullopt;
   std::map<ReplicaId, const wire::ReplicaT*> candidates;
   for (const auto* learner : activeLearners(membership, now)) candidates[learner->id] = learner;
-  return spreadStep(membership, candidates, zones, context_.options.self.id);
+  return nextSpreadChange(membership, candidates, zone_losses, context_.options.self.id);
 }
 
-ReplicaId MembershipManager::placeFor(const wire::MembershipT& membership, const wire::ReplicaT& learner,
-                                      TimePoint now) const {
+ReplicaId MembershipManager::voterReplacedBy(const wire::MembershipT& membership,
+                                             const wire::ReplicaT& learner, TimePoint now) const {
   for (const auto& voter : membership.voters) {
     if (sameAddress(*voter, learner)) return voter->id;
   }
   for (const auto& voter : membership.voters) {
     if (!isSilent(voter->id, context_.options.replace_silent_after, now)) continue;
-    if (mayTakePlace(membership, *voter, learner, now)) return voter->id;
+    if (mayReplace(membership, *voter, learner, now)) return voter->id;
   }
   return 0;
 }
 
-bool MembershipManager::mayTakePlace(const wire::MembershipT& membership, const wire::ReplicaT& voter,
-                                     const wire::ReplicaT& learner, TimePoint now) const {
-  const auto zones = context_.options.tolerated_zone_losses;
+bool MembershipManager::mayReplace(const wire::MembershipT& membership, const wire::ReplicaT& voter,
+                                   const wire::ReplicaT& learner, TimePoint now) const {
+  const auto zone_losses = context_.options.tolerated_zone_losses;
   auto voters = votersByZone(membership);
-  if (!outlastsZones(voters, zones) || isSilent(voter.id, kSilentZonePatience, now)) return true;
+  if (!survivesZoneLosses(voters, zone_losses) || isSilent(voter.id, kSilentZoneReplaceDelay, now))
+    return true;
   --voters[voter.zone];
   ++voters[learner.zone];
-  return outlastsZones(voters, zones);
+  return survivesZoneLosses(voters, zone_losses);
 }
 
 std::optional<MembershipChange> MembershipManager::changeForLearner(const wire::MembershipT& membership,
@@ -157,7 +160,7 @@
   for (const auto* learner : activeLearners(membership, now)) {
     MembershipChange change;
     change.replica.id = learner->id;
-    change.replaced = placeFor(membership, *learner, now);
+    change.replaced = voterReplacedBy(membership, *learner, now);
     const bool is_vacant = membership.voters.size() < context_.options.voters;
     if (change.replaced == 0 && !is_vacant) continue;
     change.kind =
@@ -172,7 +175,7 @@
   for (const auto& [id, candidate] : candidates_) {
     if (consensus::findReplica(membership, id) != nullptr) continue;
     for (const auto& learner : membership.learners) {
-      // Its folder is gone: another replica runs at its address.
+      // The learner's data folder was lost: a replica with another identifier now runs at its address.
       if (sameAddress(*learner, candidate.replica)) return removal(learner->id);
     }
     MembershipChange change;
@@ -187,7 +190,7 @@
 std::optional<MembershipChange> MembershipManager::removalOfSilentLearner(const wire::MembershipT& membership,
                                                                           TimePoint now) const {
   for (const auto& learner : membership.learners) {
-    if (isSilent(learner->id, kSilentLearnerLimit, now)) return removal(learner->id);
+    if (isSilent(learner->id, kSilentLearnerTimeout, now)) return removal(learner->id);
   }
   return std::nullopt;
 }
--- a/src/store/seed_formation.h
+++ b/src/store/seed_formation.h
@@ -11,74 +11,74 @@
 
 namespace cometstand::store {
 
-/// First start and joining of replicas that are told nothing but a few seed addresses. Used in place of
+/// Bootstraps a cluster from seed addresses and lets further replicas join it. Used in place of
 /// ClusterFormation when StoreOptions::seeds is not empty.
 ///
-/// - The seeds are the first voters. A seed with an empty folder and the bootstrap flag bootstraps only once
-/// every
-///   seed answered, each with the id of its folder, and none of them has seen an election. It begins no
-///   election before every seed has bootstrapped. So a second cluster never forms.
-/// - Any other replica with an empty folder, and any replica that hears no leader for a while, asks the
-/// members
-///   that it knows and the seeds to be taken in; the leader adds it (MembershipManager).
+/// - The seeds are the initial voters. A seed with an empty data folder and the bootstrap flag bootstraps
+///   only after every seed has replied with its identifier and none of them reports a term from an election.
+///   It starts no election until every seed has bootstrapped. This prevents a second cluster from forming.
+/// - Any other replica with an empty data folder, and any replica without a known leader for
+///   kNoLeaderTimeout, sends join requests to the seeds and to the voters that it knows. The leader adds it
+///   to the membership (see MembershipManager).
 class SeedFormation {
  public:
   SeedFormation(StoreContext& context, MembershipManager& members) : context_(context), members_(members) {}
 
   bool enabled() const { return !context_.options.seeds.empty(); }
   void begin(TimePoint now);
-  /// These addresses are asked too from now on when this replica wants to join. The first voters stay the
-  /// seeds of the start.
-  void setSeeds(std::vector<runtime::Address> seeds) { later_seeds_ = std::move(seeds); }
+  /// Sets further addresses that receive this replica's join requests. The initial voters remain the seeds
+  /// from StoreOptions.
+  void setSeeds(std::vector<runtime::Address> seeds) { added_seeds_ = std::move(seeds); }
 
-  /// @return true if the link was opened by this object and has not ended.
+  /// @return true if this object opened the link and the link has not closed.
   bool owns(runtime::LinkId link) const { return links_.contains(link); }
   void onLinkOpened(runtime::LinkId link, TimePoint now);
   void onLinkClosed(runtime::LinkId link);
 
-  void onRequest(const Asker& asker, const wire::FormationRequestT& request, TimePoint now);
+  void onRequest(const Asker& requester, const wire::FormationRequestT& request, TimePoint now);
   void onReply(runtime::LinkId link, const wire::FormationReplyT& reply, TimePoint now);
 
   /// @return true while this replica must not begin an election.
-  bool holdsElections() const;
+  bool defersElections() const;
   void onTimer(TimePoint now);
-  TimePoint nextTimer() const { return enabled() ? ask_at_ : TimePoint::max(); }
+  TimePoint nextTimer() const { return enabled() ? next_request_at_ : TimePoint::max(); }
 
  private:
-  struct Answer {
+  struct SeedReply {
     consensus::Term term = 0;
     wire::ReplicaT replica;
   };
-  struct Contact {
+  struct OutgoingLink {
     runtime::Address address;
     bool open = false;
   };
 
   consensus::Term storedTerm() const;
-  bool isFirstVoter() const;
-  /// @return true while this replica takes part in the first start.
+  bool isInitialVoter() const;
+  /// @return true while this replica takes part in bootstrapping the cluster.
   bool isForming() const;
-  bool wantsToJoin(TimePoint now) const;
-  bool allSeedsAnswered(consensus::Term at_least) const;
+  bool shouldRequestJoin(TimePoint now) const;
+  bool allSeedsReplied(consensus::Term at_least) const;
   void bootstrapIfAgreed(TimePoint now);
-  void ask(const runtime::Address& address);
+  /// Sends a request to the address, or connects to it if there is no link yet.
+  void requestFrom(const runtime::Address& address);
   void sendRequest(runtime::LinkId link);
-  void closeAll();
+  void closeLinks();
 
   StoreContext& context_;
   MembershipManager& members_;
-  /// By the seed's address.
-  std::map<runtime::Address, Answer> answers_;
-  std::map<runtime::LinkId, Contact> links_;
-  /// Of members that an answer named.
-  std::map<runtime::Address, bool> hinted_;
-  std::vector<runtime::Address> later_seeds_;
-  bool cluster_runs_ = false;
-  TimePoint ask_at_;
-  TimePoint leader_heard_at_;
+  /// Replies by the address that the request was sent to.
+  std::map<runtime::Address, SeedReply> replies_;
+  std::map<runtime::LinkId, OutgoingLink> links_;
+  /// Addresses of the voters that replies listed.
+  std::map<runtime::Address, bool> reported_voters_;
+  std::vector<runtime::Address> added_seeds_;
+  bool cluster_exists_ = false;
+  TimePoint next_request_at_;
+  TimePoint leader_known_at_;
 };
 
-/// @return where a replica listens.
+/// @return the address on which the replica listens.
 inline runtime::Address addressOf(const wire::ReplicaT& replica) { return {replica.address, replica.port}; }
 
 }  // namespace cometstand::store
--- a/src/store/store_core.h
+++ b/src/store/store_core.h
@@ -16,12 +16,12 @@
 
 class StoreParts;
 
-/// One replica of the configuration store. It owns the consensus module, the state machine that the committed
-/// entries drive, the links to the other replicas, and the services for operators and relays. Driven by one
-/// thread or event, see runtime::ProcessCore.
+/// One replica of the configuration store. It owns the consensus module, the state machine that applies the
+/// committed log entries, the links to the other replicas, and the services for operators, relays and nodes.
+/// Its functions must not be called concurrently (see runtime::ProcessCore).
 class StoreCore : public runtime::ProcessCore {
  public:
-  /// @param seed for jitter and election timeouts.
+  /// @param seed of the random numbers for jitter and election timeouts.
   /// @throw Error(Invalid) if an option is out of range.
   StoreCore(const StoreOptions& options, std::uint64_t seed);
   ~StoreCore() override;
@@ -38,32 +38,33 @@
   void beginStop(TimePoint now) override;
   bool stopped() const override;
 
-  /// Changes the whole mesh configuration. To be followed by the runner's flush().
-  /// @param handler called exactly once, now or later, with the outcome.
+  /// Replaces the whole mesh configuration. The caller must call the runner's flush() afterwards.
+  /// @param handler called exactly once with the outcome, either during this call or later.
   void changeMesh(const wire::MeshChangeT& change, const MeshAnswerHandler& handler, TimePoint now);
-  /// Reads the newest mesh configuration. To be followed by the runner's flush().
+  /// Reads the newest mesh configuration. The caller must call the runner's flush() afterwards.
   void readMesh(MeshAnswerHandler handler, TimePoint now);
 
-  /// Orders a roll-out of a service's version. To be followed by the runner's flush().
-  /// @param handler called exactly once, now or later, with the outcome.
+  /// Starts, changes or ends a roll-out of a service version. The caller must call the runner's flush()
+  /// afterwards.
+  /// @param handler called exactly once with the outcome, either during this call or later.
   void orderRollout(const wire::RolloutOrderT& order, const RolloutAnswerHandler& handler, TimePoint now);
-  /// Reads the service's newest roll-out. To be followed by the runner's flush().
+  /// Reads the newest roll-out of the service. The caller must call the runner's flush() afterwards.
   void readRollout(const std::string& service, RolloutAnswerHandler handler, TimePoint now);
 
-  /// Orders that a zone's targets get no requests any more, or get them again. To be followed by the runner's
-  /// flush().
-  /// @param handler called exactly once, now or later, with the outcome.
+  /// Begins or ends the evacuation of a zone, during which its targets get no requests. The caller must call
+  /// the runner's flush() afterwards.
+  /// @param handler called exactly once with the outcome, either during this call or later.
   void orderEvacuation(const wire::EvacuationOrderT& order, const EvacuationAnswerHandler& handler,
                        TimePoint now);
 
-  /// Other seeds from now on, for a replica that wants to join.
+  /// Sets further addresses that receive this replica's join requests.
   void setSeeds(std::vector<runtime::Address> seeds);
 
-  /// For tests, simulation and metrics.
+  /// @return the role, term and leader as this replica knows them. For tests, simulation and metrics.
   consensus::Leadership leadership() const;
-  /// @return the latest membership in the log.
+  /// @return the latest membership in the log, whether it is committed or not.
   wire::MembershipT membership() const;
-  /// @return what the committed entries made so far.
+  /// @return the state after all log entries that this replica has applied.
   const StateMachine& stateMachine() const;
   StoreMetrics metrics() const;
   /// @throw std::logic_error if an invariant does not hold. For tests and simulation.
--- a/src/store/store_pages.h
+++ b/src/store/store_pages.h
@@ -5,8 +5,8 @@
 
 namespace cometstand::store {
 
-/// Admin pages of one store replica. It is ready once it knows a leader, so that commands reach one; it is
-/// live unless its disk failed.
+/// Admin pages of one store replica. The replica is ready while it knows a leader to which it can forward
+/// commands. It is live unless its disk has failed.
 class StorePages : public admin::AdminPages {
  public:
   /// @param core must outlive the pages.
--- a/src/store/store_parts.cpp
+++ b/src/store/store_parts.cpp
@@ -14,11 +14,12 @@
 
 namespace {
 
-/// Records that are packed into a snapshot at once, a few milliseconds' work, and the pause for other events.
-constexpr std::size_t kSnapshotSlice = 4'000;
-constexpr Duration kSnapshotPause = std::chrono::milliseconds(5);
-/// Until a state that did not fit a snapshot is tried again.
-constexpr Duration kSnapshotRetry = std::chrono::seconds(60);
+/// Records that one step writes into a snapshot. A step takes a few milliseconds.
+constexpr std::size_t kSnapshotRecordsPerStep = 4'000;
+/// Pause between two steps, in which other events are processed.
+constexpr Duration kSnapshotStepPause = std::chrono::milliseconds(5);
+/// Delay before the next attempt after the state exceeded the size limit of a snapshot.
+constexpr Duration kSnapshotRetryDelay = std::chrono::seconds(60);
 
 const StoreOptions& checked(const StoreOptions& options) {
   options.check();
@@ -78,7 +79,7 @@
 }
 
 void StoreParts::onTimer(TimePoint now) {
-  if (!holdsElections()) consensus_.onTimer(now);
+  if (!defersElections()) consensus_.onTimer(now);
   formation_.onTimer(now);
   seeds_.onTimer(now);
   members_.onTimer(now);
@@ -102,7 +103,7 @@
 }
 
 TimePoint StoreParts::nextTimer() const {
-  const TimePoint consensus_timer = holdsElections() ? TimePoint::max() : consensus_.nextTimer();
+  const TimePoint consensus_timer = defersElections() ? TimePoint::max() : consensus_.nextTimer();
   return std::min({consensus_timer,
                    formation_.nextTimer(),
                    seeds_.nextTimer(),
@@ -122,7 +123,7 @@
                    waits_.nextTimer(),
                    admin_.nextTimer(),
                    forwarder_.nextTimer(),
-                   stop_passed_ ? TimePoint::max() : stop_deadline_});
+                   stop_wait_ended_ ? TimePoint::max() : stop_deadline_});
 }
 
 void StoreParts::drain(TimePoint now) {
@@ -130,7 +131,7 @@
     if (context_.isLeader()) writer_.flush(now);
     admin_.step(now);
     quotas_.step(now);
-    stepStop(now);
+    continueStop(now);
   } while (drainOnce(now));
   replicas_.refresh(now);
 }
@@ -207,18 +208,18 @@
 }
 
 void StoreParts::beginSnapshotIfDue(TimePoint now) {
-  if (snapshot_ || now < next_snapshot_ || !consensus_.snapshotDue()) return;
-  snapshot_.emplace(Snapshot{applied_index_, SnapshotWriter(state_.capture()), now});
+  if (snapshot_ || now < next_snapshot_at_ || !consensus_.snapshotDue()) return;
+  snapshot_.emplace(SnapshotInProgress{applied_index_, SnapshotWriter(state_.capture()), now});
 }
 
 void StoreParts::continueSnapshot(TimePoint now) {
-  if (!snapshot_ || now < snapshot_->continue_at) return;
-  snapshot_->continue_at = now + kSnapshotPause;
-  if (!snapshot_->writer.step(kSnapshotSlice)) return;
+  if (!snapshot_ || now < snapshot_->next_step_at) return;
+  snapshot_->next_step_at = now + kSnapshotStepPause;
+  if (!snapshot_->writer.step(kSnapshotRecordsPerStep)) return;
   try {
     consensus_.compact(snapshot_->index, snapshot_->writer.take());
   } catch (const Error& error) {
-    next_snapshot_ = now + kSnapshotRetry;
+    next_snapshot_at_ = now + kSnapshotRetryDelay;
     logEvent(kSnapshotTooLarge, {{"reason", error.what()}});
   }
   snapshot_.reset();
@@ -240,27 +241,28 @@
   drain(now);
 }
 
-/// Leadership is handed over once what is in the log is answered, so that no answer becomes Unknown by it.
-void StoreParts::stepStop(TimePoint now) {
+/// Transfers leadership only after all commands in the log have been answered, so that the transfer turns no
+/// response into Unknown.
+void StoreParts::continueStop(TimePoint now) {
   if (!stopping_) return;
-  if (now >= stop_deadline_) stop_passed_ = true;
-  if (now < next_transfer_ || !context_.isLeader() || !writer_.idle() || !servicesIdle() || !admin_.idle())
+  if (now >= stop_deadline_) stop_wait_ended_ = true;
+  if (now < next_transfer_at_ || !context_.isLeader() || !writer_.idle() || !servicesIdle() || !admin_.idle())
     return;
-  // By then a transfer to a replica that does not answer has been given up.
-  next_transfer_ = now + 2 * options_.consensus.election_timeout_max;
-  if (!consensus_.transferLeadershipToAny(now)) stop_passed_ = true;
+  // By that time, a transfer to a replica that does not respond has timed out.
+  next_transfer_at_ = now + 2 * options_.consensus.election_timeout_max;
+  if (!consensus_.transferLeadershipToAny(now)) stop_wait_ended_ = true;
 }
 
 TimePoint StoreParts::stopTimer() const {
-  if (!stopping_ || stop_passed_) return TimePoint::max();
-  // What is still to be answered ends by an event, and the handover follows that.
-  const bool may_hand_over = context_.isLeader() && writer_.idle() && servicesIdle() && admin_.idle();
-  return may_hand_over ? std::min(next_transfer_, stop_deadline_) : stop_deadline_;
+  if (!stopping_ || stop_wait_ended_) return TimePoint::max();
+  // Pending commands complete through other events, and each event attempts the transfer again.
+  const bool may_transfer = context_.isLeader() && writer_.idle() && servicesIdle() && admin_.idle();
+  return may_transfer ? std::min(next_transfer_at_, stop_deadline_) : stop_deadline_;
 }
 
 bool StoreParts::stopped() const {
   if (!stopping_) return false;
-  return stop_passed_ ||
+  return stop_wait_ended_ ||
          (!context_.isLeader() && !readers_.owesGoodbye() && writer_.idle() && forwarder_.idle());
 }
 
@@ -311,10 +313,11 @@
 
 void StoreParts::checkInvariants() const {
   consensus_.checkInvariants();
-  if (applied_index_ > consensus_.commitIndex()) throw std::logic_error("an uncommitted entry was applied");
+  if (applied_index_ > consensus_.commitIndex())
+    throw std::logic_error("an uncommitted log entry was applied");
   const bool serves_as_follower =
       !context_.isLeader() && leadership_.role != consensus::Role::Leader && readers_.size() > 0;
-  if (serves_as_follower) throw std::logic_error("a replica that does not lead has readers");
+  if (serves_as_follower) throw std::logic_error("a replica that is not the leader has subscribed relays");
 }
 
 }  // namespace cometstand::store
--- a/src/store/store_parts.h
+++ b/src/store/store_parts.h
@@ -20,8 +20,8 @@
 
 namespace cometstand::store {
 
-/// The parts of one replica and the order in which an event goes through them. After each event drain() hands
-/// the consensus module's output on until there is none left.
+/// The components of one replica. Dispatches each event to them in a fixed order. After each event, drain()
+/// passes the output of the consensus module to the components until there is no more output.
 class StoreParts {
  public:
   StoreParts(const StoreOptions& options, std::uint64_t seed);
@@ -53,7 +53,7 @@
                        TimePoint now);
 
  private:
-  bool holdsElections() const { return formation_.holdsElections() || seeds_.holdsElections(); }
+  bool defersElections() const { return formation_.defersElections() || seeds_.defersElections(); }
   void onSeedMessage(runtime::LinkId link, const wire::EnvelopeT& message, TimePoint now);
   void drain(TimePoint now);
   /// @return true if there was any output.
@@ -62,11 +62,12 @@
   void applyCommitted(const std::vector<consensus::LogEntryPointer>& entries, TimePoint now);
   void beginSnapshotIfDue(TimePoint now);
   void continueSnapshot(TimePoint now);
-  void stepStop(TimePoint now);
-  /// @return true if callers in the same process wait for nothing.
+  void continueStop(TimePoint now);
+  /// @return true if no caller in the same process waits for a response.
   bool servicesIdle() const { return mesh_.idle() && rollouts_.idle() && evacuations_.idle(); }
   TimePoint stopTimer() const;
-  /// @return true if the link's certificate allows this role; else the link is closed.
+  /// Closes the link if its certificate allows neither role.
+  /// @return true if the certificate allows one of the roles.
   bool requireRole(runtime::LinkId link, const char* role, const char* other_role = "");
   void onOwnLinkMessage(runtime::LinkId link, const wire::EnvelopeT& message, TimePoint now);
   void onIncomingMessage(runtime::LinkId link, const wire::EnvelopeT& message, TimePoint now);
@@ -108,24 +109,25 @@
   CommandService commands_{
       context_, {readers_, writer_, statuses_, waits_, admin_, forwarder_, quarantine_, evacuations_}};
 
-  /// Certificates of the open incoming links.
+  /// Identities from the certificates of the open incoming links.
   std::map<runtime::LinkId, runtime::PeerIdentity> incoming_;
   consensus::Leadership leadership_;
   consensus::LogIndex applied_index_ = 0;
-  /// A snapshot on its way.
-  struct Snapshot {
+  /// A snapshot that is being written in several steps.
+  struct SnapshotInProgress {
     consensus::LogIndex index = 0;
     SnapshotWriter writer;
-    TimePoint continue_at;
+    TimePoint next_step_at;
   };
-  std::optional<Snapshot> snapshot_;
-  /// Not before: the last snapshot did not fit, and operators need time to delete what is not needed.
-  TimePoint next_snapshot_;
+  std::optional<SnapshotInProgress> snapshot_;
+  /// Earliest time of the next snapshot. Set after the state exceeded the size limit of a snapshot, to give
+  /// operators time to delete configuration objects.
+  TimePoint next_snapshot_at_;
   bool stopping_ = false;
-  /// When leadership may be handed over, or again; the beginning of time before the first try.
-  TimePoint next_transfer_;
+  /// Earliest time of the next leadership transfer; the epoch of the clock before the first attempt.
+  TimePoint next_transfer_at_;
   TimePoint stop_deadline_ = TimePoint::max();
-  bool stop_passed_ = false;
+  bool stop_wait_ended_ = false;
 };
 
 }  // namespace cometstand::store
--- a/src/store/store_settings.cpp
+++ b/src/store/store_settings.cpp
@@ -17,124 +17,135 @@
 
 namespace {
 
-/// Bounds of the voters of a cluster that keeps itself.
-constexpr std::size_t kLeastVoters = 3;
-constexpr std::size_t kMostVoters = 9;
+/// Bounds of the number of voters in a cluster that manages its own membership (store.seeds).
+constexpr std::size_t kMinVoters = 3;
+constexpr std::size_t kMaxVoters = 9;
 constexpr std::uint64_t kMaxId = std::numeric_limits<std::int64_t>::max();
 
 void declareReplicas(settings::SettingsTable& table, StoreSettings& store) {
   table.integer(
       "store.id", store.id, {0, kMaxId},
-      "Identifier of this replica, from 1, never reused: a replica whose disk was lost gets a new one. Not "
-      "given with store.seeds: the identifier is then drawn and kept in the data folder.");
-  table.text("store.name", store.name, "Name of this replica, for logs and show replicas.").required();
-  table.address(
-      "store.advertise", store.advertise,
-      "Where other replicas, relays and operators reach this replica; listen.address if not given.");
+      "Identifier of this replica, at least 1 and never reused: a replica whose disk was lost needs a new "
+      "one. Must not be set with store.seeds; the identifier is then generated at random and stored in the "
+      "data folder.");
+  table.text("store.name", store.name, "Name of this replica in logs and in show replicas.").required();
+  table.address("store.advertise", store.advertise,
+                "Address at which other replicas, relays and operators reach this replica; defaults to "
+                "listen.address.");
   table.rows<ReplicaSettings>(
       "store.replicas", store.replicas,
-      "The first voters of the cluster, this replica included if it is one; also where a new replica answers "
-      "to.",
+      "Initial voters of the cluster, including this replica if it is one of them. A replica that is added "
+      "later also uses the list to reach the cluster.",
       [](settings::SettingsTable& row, ReplicaSettings& replica) {
-        row.integer("id", replica.id, {1, kMaxId}, "Identifier, never reused.").required();
-        row.text("name", replica.name, "Name, for logs and show replicas.").required();
-        row.address("address", replica.address, "Where it listens.").required();
-        row.text("region", replica.region, "Its region.");
+        row.integer("id", replica.id, {1, kMaxId}, "Identifier; never reused.").required();
+        row.text("name", replica.name, "Name in logs and in show replicas.").required();
+        row.address("address", replica.address, "Address on which the replica listens.").required();
+        row.text("region", replica.region, "Region of the replica.");
       });
   table.addresses(
       "store.seeds", store.options.seeds,
-      "Where the first voters listen. With it, replicas form the cluster, join it and replace each other "
-      "without an operator, and store.replicas is not given.");
+      "Addresses of the initial voters. If set, replicas bootstrap the cluster, join it and replace failed "
+      "voters without an operator, and store.replicas should not be set.");
   table.integer<std::size_t>(
       "store.tolerated_losses", store.tolerated_losses, {0, 1'000},
-      "Replicas that may be lost at once, with their disks. With store.seeds, the cluster "
-      "keeps twice as many voters and one more, from 3 to 9, as far as there are replicas.");
-  table.integer<std::size_t>("store.tolerated_zone_losses", store.options.tolerated_zone_losses, {0, 9},
-                             "Zones that may be lost at once. With store.seeds, voters are spread so that a "
-                             "majority outlasts that, and there are at least twice as many and one more.");
-  table.texts("store.zones", store.zones,
-              "All zones with their regions, each as zone=region. Orders for other zones are refused; none "
-              "if they are not known.");
-  table.number("store.rollout_exposure_share", store.options.rollout_exposure_share, {0, 1},
-               "Share of a service's requests that a version may get at most before a roll-out promotes it.");
-  table.integer<std::uint64_t>("store.rollout_exposure_slack", store.options.rollout_exposure_slack,
-                               {0, 1'000'000}, "Requests that such a version may get besides that share.");
+      "Number of replicas that may be lost at the same time, including their disks. With store.seeds, the "
+      "number of voters is twice this value plus one, from 3 to 9, if there are enough replicas.");
+  table.integer<std::size_t>(
+      "store.tolerated_zone_losses", store.options.tolerated_zone_losses, {0, 9},
+      "Number of zones that may be lost at the same time. With store.seeds, the voters are spread over the "
+      "zones so that a majority survives, and their number is at least twice this value plus one.");
+  table.texts(
+      "store.zones", store.zones,
+      "All zones with their regions, each as zone=region. Evacuation orders for other zones are refused. "
+      "If the list is empty, orders for any zone are accepted.");
+  table.number(
+      "store.rollout_exposure_share", store.options.rollout_exposure_share, {0, 1},
+      "Maximum share of the requests of a service that a version may get before a roll-out promotes it.");
+  table.integer<std::uint64_t>(
+      "store.rollout_exposure_slack", store.options.rollout_exposure_slack, {0, 1'000'000},
+      "Number of requests that a version may get in addition to store.rollout_exposure_share before its "
+      "promotion.");
   table.number("store.quota_window_seconds", store.quota_window_seconds, {0.001, 3'600},
-               "Length in seconds of the windows in which tenants' requests are held to their limits.");
-  table.number("store.quota_overshoot", store.options.quota.overshoot, {0, 10},
-               "What tenants' requests may be beyond their limit in such a window, as a share of it.");
+               "Length in seconds of the time windows in which the request quotas of tenants are enforced.");
+  table.number(
+      "store.quota_overshoot", store.options.quota.overshoot, {0, 10},
+      "Share of its limit by which the requests of a tenant may exceed the limit in a quota window.");
   table.number("store.quota_slack", store.options.quota.slack, {0, 1e6},
-               "Requests that a tenant's may be beyond its limit in such a window besides that.");
+               "Number of requests by which a tenant may exceed its limit in a quota window, in addition to "
+               "store.quota_overshoot.");
   table.duration(
       "store.replace_silent_after", store.options.replace_silent_after, {milliseconds(100), hours(24)},
-      "With store.seeds: a voter without an answer for this long gives its place to a replica that has "
+      "With store.seeds: time without a response after which a voter is replaced by a replica that has "
       "caught up.");
   table.flag("store.bootstrap", store.options.bootstrap,
-             "True only on the very first start of the first voters. Take it out of the file afterwards.");
+             "True only on the first start of the initial voters. Remove it from the file afterwards.");
   table.text("store.bootstrap_salt", store.bootstrap_salt,
-             "Salt of the credential bootstrap of the tenant mesh, in hexadecimal.");
+             "Salt of the bootstrap credential of the tenant mesh, in hexadecimal.");
   table.text("store.bootstrap_token_hash", store.bootstrap_token_hash,
-             "SHA-256 of salt followed by token, in hexadecimal, as cometctl hash-token prints it; none "
-             "disables the "
-             "credential bootstrap.");
+             "SHA-256 of salt followed by token, in hexadecimal, as cometctl hash-token prints it. If not "
+             "set, the bootstrap credential is disabled.");
 }
 
 void declareConsensus(settings::SettingsTable& table, consensus::ConsensusOptions& options) {
-  table.duration("store.election_timeout_min", options.election_timeout_min, {milliseconds(10), minutes(1)},
-                 "Shortest time without a leader before an election; at least three heartbeat intervals.");
+  table.duration(
+      "store.election_timeout_min", options.election_timeout_min, {milliseconds(10), minutes(1)},
+      "Minimum time without a leader before an election starts; at least three heartbeat intervals.");
   table.duration("store.election_timeout_max", options.election_timeout_max, {milliseconds(11), minutes(2)},
-                 "Longest time without a leader before an election.");
+                 "Maximum time without a leader before an election starts.");
   table.duration("store.heartbeat_interval", options.heartbeat_interval, {milliseconds(1), seconds(20)},
-                 "Interval of a leader's heartbeats.");
+                 "Interval between two heartbeats of the leader.");
   table.integer<std::size_t>("store.snapshot_after_log_bytes", options.snapshot_after_log_bytes,
                              {std::size_t{4} << 10U, std::size_t{1} << 30U},
-                             "Bytes of log after which a snapshot is taken.");
+                             "Size of the log in bytes after which a snapshot is taken.");
   table.integer<std::size_t>("store.segment_bytes", options.segment_bytes,
                              {std::size_t{4} << 10U, std::size_t{1} << 30U},
-                             "Bytes after which a log file is closed and the next one begun.");
+                             "Size in bytes after which a log file is closed and a new one is started.");
 }
 
 void declareCommands(settings::SettingsTable& table, StoreOptions& options) {
   table.duration(
       "store.command_time_limit", options.command_time_limit, {milliseconds(100), minutes(10)},
-      "Longest time that a command may take before its answer is unknown, or not_run if nothing was "
-      "written.");
+      "Timeout of a command, after which its outcome is reported as unknown, or as not_run if no log entry "
+      "was written.");
   table.duration("store.status_time_limit", options.status_time_limit, {milliseconds(10), minutes(1)},
-                 "Longest time that a query waits for the relays' answers.");
+                 "Timeout of a query that waits for the responses of relays.");
   table.duration(
       "store.claim_time_limit", options.claim_time_limit, {seconds(1), hours(24)},
-      "A claim that has been in progress for this long ends as unknown; set it longer than any request "
-      "runs.");
+      "Time after which a claim in progress ends with an unknown outcome; must be longer than the longest "
+      "request.");
   table.duration("store.repair_time_limit", options.repair_time_limit, {seconds(1), hours(24)},
-                 "Longest time that replace replica waits for the new replica to catch up.");
+                 "Maximum time that replace replica waits for the new replica to catch up.");
   table.duration("store.max_wait", options.max_wait, {seconds(1), hours(24)},
-                 "Longest wait for a version to be in force, whatever the command asks.");
+                 "Maximum time that a command may wait for a version to be in force, even if it requests a "
+                 "longer wait.");
   table.duration("store.retry_after", options.retry_after, {milliseconds(1), minutes(1)},
-                 "When refused operators and relays should come back.");
+                 "Delay after which operators and relays should retry a refused request.");
   table.duration("store.stop_time_limit", options.stop_time_limit, {milliseconds(0), minutes(1)},
-                 "Longest time that a planned stop waits for another leader.");
+                 "Maximum time that a planned stop waits for another replica to become leader.");
   table.integer<std::size_t>(
       "store.max_batches_in_flight", options.max_batches_in_flight, {1, 64},
-      "Log entries of commands in flight at once; later commands share the next entry.");
+      "Maximum number of log entries with commands in flight; later commands are batched into the next "
+      "entry.");
   table.integer<std::size_t>("store.max_commands_per_batch", options.max_commands_per_batch, {1, 10'000},
-                             "Commands in one log entry.");
-  table.integer<std::size_t>("store.max_commands_waiting", options.max_commands_waiting, {1, 1'000'000},
-                             "Commands waiting for their log entry; more are refused.");
+                             "Maximum number of commands in one log entry.");
+  table.integer<std::size_t>(
+      "store.max_commands_waiting", options.max_commands_waiting, {1, 1'000'000},
+      "Maximum number of commands waiting for a log entry; further commands are refused.");
 }
 
 void declareLinks(settings::SettingsTable& table, StoreOptions& options) {
   table.integer<std::size_t>("store.max_readers", options.max_readers, {1, 1'000},
-                             "Relays that read the leader at once, one a zone.");
+                             "Maximum number of relays that are subscribed to the leader, one in each zone.");
   table.number("store.reader_join_rate", options.reader_join_rate, {0.1, 10'000},
-               "Readers admitted each second after the burst.");
+               "Relay subscriptions accepted per second after the burst.");
   table.number("store.reader_join_burst", options.reader_join_burst, {1, 10'000},
-               "Readers admitted at once after a quiet time.");
+               "Relay subscriptions accepted at once after a time without any.");
   table.duration("store.beat_interval", options.beat_interval, {milliseconds(10), minutes(1)},
-                 "Interval of the beats that tell readers that a quorum confirmed the leader.");
+                 "Interval between the heartbeats that inform relays that a quorum confirmed the leader.");
   table.duration("store.reconnect_minimum", options.reconnect_minimum, {milliseconds(1), minutes(1)},
-                 "Smallest ceiling of the random pause before a connect to another replica.");
+                 "Initial upper bound of the random backoff before a connection to another replica.");
   table.duration("store.reconnect_maximum", options.reconnect_maximum, {milliseconds(1), minutes(1)},
-                 "Largest ceiling of the random pause before a connect to another replica.");
+                 "Maximum upper bound of the random backoff before a connection to another replica.");
 }
 
 std::vector<std::uint8_t> readHex(const std::string& key, const std::string& text) {
@@ -142,7 +153,7 @@
   try {
     boost::algorithm::unhex(text, std::back_inserter(bytes));
   } catch (const boost::algorithm::hex_decode_error&) {
-    throw Error(ErrorKind::Invalid, key + " is not hexadecimal",
+    throw Error(ErrorKind::Invalid, key + " is not a valid hexadecimal string",
                 "copy it from the output of cometctl hash-token");
   }
   return bytes;
@@ -165,19 +176,20 @@
   }
   if (store.common.data_folder.empty()) {
     throw Error(ErrorKind::Invalid, "data.folder is not set",
-                "set data.folder to a folder of this replica alone");
+                "set data.folder to a folder that only this replica uses");
   }
   const bool has_seeds = !store.options.seeds.empty();
   if (has_seeds != (store.id == 0)) {
-    throw Error(ErrorKind::Invalid, "either store.id or store.seeds is to be given",
-                "give store.seeds for replicas that join by themselves, else store.id");
+    throw Error(ErrorKind::Invalid, "exactly one of store.id and store.seeds must be set",
+                "set store.seeds for replicas that join the cluster automatically, otherwise store.id");
   }
   const bool is_first_voter =
       has_seeds || std::any_of(store.replicas.begin(), store.replicas.end(),
                                [&](const ReplicaSettings& replica) { return replica.id == store.id; });
   if (store.options.bootstrap && !is_first_voter) {
     throw Error(ErrorKind::Invalid, "store.bootstrap is true, but store.replicas does not list store.id",
-                "list this replica, or start it without bootstrap and add it with add replica");
+                "add this replica to store.replicas, or start it without store.bootstrap and add it with add "
+                "replica");
   }
   checkBootstrap(store);
   StoreSettings copy = store;
@@ -210,9 +222,10 @@
   if (store.advertise.host.empty()) store.advertise = store.common.listen;
   store.options.quota.window =
       std::chrono::duration_cast<Duration>(std::chrono::duration<double>(store.quota_window_seconds));
-  // A zone takes at least one voter with it, so fewer voters outlast no such loss, however they are spread.
+  // Each lost zone may remove at least one voter, so fewer voters could not survive the loss of this many
+  // zones however they are spread.
   const auto losses = std::max(store.tolerated_losses, store.options.tolerated_zone_losses);
-  store.options.voters = std::clamp<std::size_t>(2 * losses + 1, kLeastVoters, kMostVoters);
+  store.options.voters = std::clamp<std::size_t>(2 * losses + 1, kMinVoters, kMaxVoters);
   store.options.self = toReplica({store.id, store.name, store.advertise, store.common.region});
   store.options.self.zone = store.common.zone;
   store.options.zones = mesh::ZoneMap(store.zones);
--- a/src/store/store_settings.h
+++ b/src/store/store_settings.h
@@ -9,7 +9,7 @@
 
 namespace cometstand::store {
 
-/// One replica as it is named in a settings file.
+/// One entry of store.replicas in a settings file.
 struct ReplicaSettings {
   std::uint64_t id = 0;
   std::string name;
@@ -25,10 +25,10 @@
   std::string name;
   runtime::Address advertise;
   std::size_t tolerated_losses = 1;
-  /// Of `options.quota`.
+  /// Source of `options.quota.window`.
   double quota_window_seconds = 5;
   std::vector<ReplicaSettings> replicas;
-  /// Of `options.zones`: each "ZONE=REGION".
+  /// Source of `options.zones`; each entry has the form "ZONE=REGION".
   std::vector<std::string> zones;
   std::string bootstrap_salt;
   std::string bootstrap_token_hash;
@@ -37,7 +37,7 @@
 /// Declares every setting of cometstand-store, together with its checks.
 void declareStoreSettings(settings::SettingsTable& table, StoreSettings& store);
 
-/// Takes the settings over into the options; call it once they are read.
+/// Derives `store.options` from the other settings. Must be called after the settings have been read.
 void completeStoreOptions(StoreSettings& store);
 
 }  // namespace cometstand::store
--- a/tests/store/self_forming_test.cpp
+++ b/tests/store/self_forming_test.cpp
@@ -1,4 +1,4 @@
-// Clusters that form, repair and keep themselves, told nothing but seeds.
+// Tests of clusters that bootstrap and manage their membership from seed addresses alone, and of their nodes.
 #include <catch2/catch.hpp>
 
 #include "memory_network.h"
@@ -13,15 +13,15 @@
 
 constexpr std::size_t kSeeds = 3;
 
-/// Four replicas, three of them seeds. Ids are given out rising, a new one for each empty disk.
-class SelfForming {
+/// A cluster whose first three replicas are seeds. Each empty disk gets the next higher identifier.
+class SelfFormingCluster {
  public:
-  explicit SelfForming(std::uint64_t seed = 1, std::size_t replicas = 4) : network(0, seed) {
+  explicit SelfFormingCluster(std::uint64_t seed = 1, std::size_t replicas = 4) : network(0, seed) {
     for (std::size_t i = 0; i < replicas; ++i) network.addReplica(++last_id);
-    for (std::size_t i = 0; i < replicas; ++i) setUp(i, true);
+    for (std::size_t i = 0; i < replicas; ++i) configureReplica(i, true);
   }
 
-  void setUp(std::size_t index, bool bootstrap) {
+  void configureReplica(std::size_t index, bool bootstrap) {
     auto& options = network.options(index);
     options.bootstrap = bootstrap;
     options.seeds.clear();
@@ -30,15 +30,16 @@
     }
   }
 
-  /// The machine comes back at its address with an empty disk.
-  void wipe(std::size_t index) {
+  /// Stops the replica and replaces its disk by an empty one with a new identifier. The address stays the
+  /// same.
+  void replaceDisk(std::size_t index) {
     network.crash(index);
     network.loseDisk(index);
     network.options(index).self.id = ++last_id;
-    setUp(index, false);
+    configureReplica(index, false);
   }
 
-  /// @return a node that is linked to the first replica and has said its name.
+  /// @return a node that has connected to the first replica and sent its name.
   MemoryNetwork::ClientId connectNode(const std::string& name) {
     const auto client = network.connect(0);
     wire::NodeHelloT hello;
@@ -49,11 +50,11 @@
 
   bool hasLeader() { return network.leader().has_value(); }
 
-  bool settles(Duration limit = seconds(20)) {
+  bool electsLeader(Duration limit = seconds(20)) {
     return network.runUntil([this] { return hasLeader(); }, limit);
   }
 
-  /// @return ids of the voters, as the leader has them; none without a leader.
+  /// @return identifiers of the voters in the leader's membership; empty without a leader.
   std::set<std::uint64_t> voters() {
     std::set<std::uint64_t> ids;
     const auto leader = network.leader();
@@ -82,7 +83,7 @@
     return *kind;
   }
 
-  /// @return what a read at the replica answers.
+  /// @return the response of the replica to a read.
   MeshAnswer read(std::size_t index) {
     std::optional<MeshAnswer> result;
     network.call(index, [&](StoreCore& core, TimePoint now) {
@@ -98,27 +99,27 @@
 
 }  // namespace
 
-TEST_CASE("a cluster forms from its seeds, whatever starts first, and the others join it") {
-  SelfForming cluster(GENERATE(1, 2, 3));
+TEST_CASE("a cluster bootstraps from its seeds in any start order, and other replicas join it") {
+  SelfFormingCluster cluster(GENERATE(1, 2, 3));
   const std::size_t first = GENERATE(0, 3);
   cluster.network.start(first);
   cluster.network.runFor(milliseconds(300));
   for (std::size_t i = 0; i < 4; ++i) {
     if (i != first) cluster.network.start(i);
   }
-  REQUIRE(cluster.settles());
+  REQUIRE(cluster.electsLeader());
   CHECK(cluster.voters() == std::set<std::uint64_t>{1, 2, 3});
   REQUIRE(cluster.network.runUntil([&] {
     return cluster.network.core(3).leadership().leader == cluster.network.core(0).leadership().leader;
   }));
 }
 
-TEST_CASE("seeds without the bootstrap flag, or not all of them, form no cluster") {
-  SelfForming cluster;
+TEST_CASE("no cluster is bootstrapped without the bootstrap flag or with a seed missing") {
+  SelfFormingCluster cluster;
   SECTION("a seed is missing") { cluster.network.start(0); }
-  SECTION("the flag is not set") {
+  SECTION("the bootstrap flag is not set") {
     for (std::size_t i = 0; i < kSeeds; ++i) {
-      cluster.setUp(i, false);
+      cluster.configureReplica(i, false);
       cluster.network.start(i);
     }
   }
@@ -127,13 +128,13 @@
   CHECK_FALSE(cluster.hasLeader());
 }
 
-TEST_CASE("a replica whose disk is lost comes back under another id and takes the place of its old self") {
-  SelfForming cluster(GENERATE(1, 2, 3, 4));
+TEST_CASE("a replica that lost its disk restarts with a new identifier and replaces its former identifier") {
+  SelfFormingCluster cluster(GENERATE(1, 2, 3, 4));
   cluster.network.startAll();
-  REQUIRE(cluster.settles());
+  REQUIRE(cluster.electsLeader());
   REQUIRE(cluster.change(0, 5) == MeshAnswerKind::Done);
   const std::size_t lost = GENERATE(0, 1, 2);
-  cluster.wipe(lost);
+  cluster.replaceDisk(lost);
   cluster.network.runFor(milliseconds(700));
   cluster.network.start(lost);
   REQUIRE(cluster.network.runUntil([&] { return cluster.isVoter(lost) || cluster.isVoter(3); }, seconds(4)));
@@ -142,95 +143,95 @@
   CHECK(cluster.read(*cluster.network.leader()).revision == 5);
 }
 
-TEST_CASE("a wiped seed that is still told to bootstrap joins the cluster that runs") {
-  SelfForming cluster;
+TEST_CASE("a seed with an empty disk and the bootstrap flag joins the existing cluster") {
+  SelfFormingCluster cluster;
   cluster.network.startAll();
-  REQUIRE(cluster.settles());
+  REQUIRE(cluster.electsLeader());
   REQUIRE(cluster.change(0, 5) == MeshAnswerKind::Done);
-  cluster.wipe(0);
-  cluster.setUp(0, true);
+  cluster.replaceDisk(0);
+  cluster.configureReplica(0, true);
   cluster.network.start(0);
   cluster.network.runFor(seconds(10));
   CHECK(cluster.read(*cluster.network.leader()).revision == 5);
   CHECK(cluster.network.core(0).stateMachine().mesh().revision() == 5);
 }
 
-TEST_CASE("a voter that is gone for good is replaced in time for the next loss, disk and all") {
-  SelfForming cluster(GENERATE(1, 2, 3));
+TEST_CASE("a voter that failed permanently is replaced before another voter loses its disk") {
+  SelfFormingCluster cluster(GENERATE(1, 2, 3));
   cluster.network.startAll();
-  REQUIRE(cluster.settles());
+  REQUIRE(cluster.electsLeader());
   REQUIRE(cluster.change(0, 5) == MeshAnswerKind::Done);
   cluster.network.crash(1);
   REQUIRE(cluster.network.runUntil([&] { return cluster.isVoter(3) && cluster.voters().size() == kSeeds; },
                                    seconds(5)));
-  // The leader has the new membership; it counts once the others have it too.
+  // The leader uses the new membership before it is committed. The delay lets the others receive it.
   cluster.network.runFor(milliseconds(50));
-  cluster.wipe(2);
+  cluster.replaceDisk(2);
   REQUIRE(cluster.network.runUntil([&] { return cluster.hasLeader(); }, seconds(5)));
   CHECK(cluster.read(*cluster.network.leader()).revision == 5);
   CHECK(cluster.change(5, 6) == MeshAnswerKind::Done);
 }
 
-TEST_CASE("a voter that was replaced while it was away joins again with what it has") {
-  SelfForming cluster;
+TEST_CASE("a voter that was replaced while it was down joins again with its existing disk") {
+  SelfFormingCluster cluster;
   cluster.network.startAll();
-  REQUIRE(cluster.settles());
-  const std::size_t away = (*cluster.network.leader() + 1) % kSeeds;
-  cluster.network.crash(away);
+  REQUIRE(cluster.electsLeader());
+  const std::size_t stopped = (*cluster.network.leader() + 1) % kSeeds;
+  cluster.network.crash(stopped);
   REQUIRE(cluster.network.runUntil([&] { return cluster.isVoter(3); }, seconds(6)));
   REQUIRE(cluster.change(0, 5) == MeshAnswerKind::Done);
-  cluster.network.start(away);
+  cluster.network.start(stopped);
   REQUIRE(cluster.network.runUntil(
-      [&] { return cluster.network.core(away).stateMachine().mesh().revision() == 5; }, seconds(5)));
+      [&] { return cluster.network.core(stopped).stateMachine().mesh().revision() == 5; }, seconds(5)));
 }
 
-TEST_CASE("a voter that is away for a moment is not replaced") {
-  SelfForming cluster;
+TEST_CASE("a voter that is down for a short time is not replaced") {
+  SelfFormingCluster cluster;
   cluster.network.startAll();
-  REQUIRE(cluster.settles());
+  REQUIRE(cluster.electsLeader());
   cluster.network.runFor(seconds(1));
-  const std::size_t away = (*cluster.network.leader() + 1) % kSeeds;
-  cluster.network.crash(away);
+  const std::size_t stopped = (*cluster.network.leader() + 1) % kSeeds;
+  cluster.network.crash(stopped);
   cluster.network.runFor(milliseconds(2'000));
-  cluster.network.start(away);
+  cluster.network.start(stopped);
   cluster.network.runFor(seconds(5));
-  CHECK(cluster.isVoter(away));
+  CHECK(cluster.isVoter(stopped));
 }
 
-TEST_CASE("what was accepted is there after all replicas end at once") {
-  SelfForming cluster(GENERATE(1, 2, 3));
+TEST_CASE("an accepted change survives a simultaneous crash of all replicas") {
+  SelfFormingCluster cluster(GENERATE(1, 2, 3));
   cluster.network.startAll();
-  REQUIRE(cluster.settles());
+  REQUIRE(cluster.electsLeader());
   REQUIRE(cluster.change(0, 5) == MeshAnswerKind::Done);
   for (std::size_t i = 0; i < 4; ++i) cluster.network.crash(i);
   for (std::size_t i = 0; i < 4; ++i) {
-    cluster.setUp(i, false);
+    cluster.configureReplica(i, false);
     cluster.network.start(i);
   }
-  REQUIRE(cluster.settles(seconds(5)));
+  REQUIRE(cluster.electsLeader(seconds(5)));
   CHECK(cluster.read(*cluster.network.leader()).revision == 5);
 }
 
-TEST_CASE("what was accepted is there after one disk is lost while all others lose power") {
-  SelfForming cluster(GENERATE(1, 2, 3));
+TEST_CASE("an accepted change survives the loss of one disk while all other replicas lose power") {
+  SelfFormingCluster cluster(GENERATE(1, 2, 3));
   cluster.network.startAll();
-  REQUIRE(cluster.settles());
+  REQUIRE(cluster.electsLeader());
   REQUIRE(cluster.change(0, 5) == MeshAnswerKind::Done);
   const std::size_t lost = GENERATE(0, 1, 2, 3);
   for (std::size_t i = 0; i < 4; ++i) cluster.network.crash(i);
-  cluster.wipe(lost);
+  cluster.replaceDisk(lost);
   for (std::size_t i = 0; i < 4; ++i) {
-    cluster.setUp(i, false);
+    cluster.configureReplica(i, false);
     cluster.network.start(i);
   }
-  REQUIRE(cluster.settles(seconds(8)));
+  REQUIRE(cluster.electsLeader(seconds(8)));
   CHECK(cluster.read(*cluster.network.leader()).revision == 5);
 }
 
-TEST_CASE("a replica that does not lead answers neither a change nor a read, and names the leader") {
-  SelfForming cluster;
+TEST_CASE("a follower does not answer a read and returns the address of the leader") {
+  SelfFormingCluster cluster;
   cluster.network.startAll();
-  REQUIRE(cluster.settles());
+  REQUIRE(cluster.electsLeader());
   cluster.network.runFor(seconds(1));
   const std::size_t follower = (*cluster.network.leader() + 1) % kSeeds;
   const auto answer = cluster.read(follower);
@@ -239,21 +240,22 @@
   CHECK(answer.leader->port == cluster.network.options(*cluster.network.leader()).self.port);
 }
 
-TEST_CASE("a leader that is cut off answers no read") {
-  SelfForming cluster;
+TEST_CASE("a leader that is partitioned from the other replicas does not answer reads") {
+  SelfFormingCluster cluster;
   cluster.network.startAll();
-  REQUIRE(cluster.settles());
+  REQUIRE(cluster.electsLeader());
   REQUIRE(cluster.change(0, 5) == MeshAnswerKind::Done);
   const auto old_leader = *cluster.network.leader();
   cluster.network.cut(old_leader);
-  REQUIRE(cluster.settles());
+  REQUIRE(cluster.electsLeader());
   REQUIRE(cluster.change(5, 6) == MeshAnswerKind::Done);
   CHECK(cluster.read(old_leader).kind != MeshAnswerKind::Done);
 }
 
-// wn-mesh scale-1: nodes that were linked before there was a leader heard of it up to 1.5 s late.
-TEST_CASE("a linked node hears at once that its store hears a leader") {
-  SelfForming cluster;
+// Guards against a delay of up to 1.5 s before nodes that connected before the election of a leader were
+// informed of it.
+TEST_CASE("a connected node is informed promptly that its store replica knows a leader") {
+  SelfFormingCluster cluster;
   cluster.network.start(0);
   const auto node = cluster.connectNode("node-1");
   cluster.network.runFor(milliseconds(250));
@@ -269,10 +271,10 @@
   }));
 }
 
-TEST_CASE("a node gets the configuration whole, then as a patch, and the endpoints of the other nodes") {
-  SelfForming cluster;
+TEST_CASE("a node gets the full configuration, then a patch, and the endpoints of the other nodes") {
+  SelfFormingCluster cluster;
   cluster.network.startAll();
-  REQUIRE(cluster.settles());
+  REQUIRE(cluster.electsLeader());
   REQUIRE(cluster.change(0, 5) == MeshAnswerKind::Done);
   const auto node = cluster.connectNode("node-1");
   cluster.network.send(node, runtime::makeEnvelope(wire::NodeSubscribeT()));
@@ -317,19 +319,21 @@
   CHECK(last_state() == wire::EndpointState::Gone);
 }
 
-// steppe-record-large, quiet-1: beats with the list of stores, to each node from each store at each change of
-// the membership, were two fifths of the bytes between zones.
-TEST_CASE("a store sends few beats, without the list of stores, to a node that is served by another") {
-  SelfForming cluster;
+// Guards against excessive traffic between zones. When every store replica sent every node a heartbeat with
+// the list of store replicas at each membership change, this made up two fifths of that traffic in a large
+// cluster.
+TEST_CASE(
+    "a store replica sends few heartbeats, without the replica list, to a node that another replica serves") {
+  SelfFormingCluster cluster;
   cluster.network.startAll();
-  REQUIRE(cluster.settles());
+  REQUIRE(cluster.electsLeader());
   const auto served = cluster.connectNode("node-1");
   cluster.network.send(served, runtime::makeEnvelope(wire::NodeSubscribeT()));
-  const auto reserve = cluster.connectNode("node-2");
+  const auto standby = cluster.connectNode("node-2");
   constexpr int kSeconds = 10;
   for (int i = 0; i < kSeconds; ++i) {
     cluster.network.runFor(seconds(1));
-    for (const auto node : {served, reserve})
+    for (const auto node : {served, standby})
       cluster.network.send(node, runtime::makeEnvelope(wire::EndpointUpdateT()));
   }
   const auto count = [&](auto node, bool with_stores) {
@@ -339,18 +343,19 @@
       return beat != nullptr && beat->replicas.empty() != with_stores;
     });
   };
-  CHECK(count(reserve, true) == 0);
-  CHECK(count(reserve, false) >= 1);
-  CHECK(count(reserve, false) <= 2);
+  CHECK(count(standby, true) == 0);
+  CHECK(count(standby, false) >= 1);
+  CHECK(count(standby, false) <= 2);
   CHECK(count(served, true) >= 2);
   CHECK(count(served, false) >= kSeconds);
 }
 
-// steppe-record-large, trouble-1: after the start each of 280 nodes got 280 messages of one endpoint each.
-TEST_CASE("endpoints that are reported together are told together") {
-  SelfForming cluster;
+// Guards against one message per endpoint: after the start of a mesh of 280 nodes, each node received 280
+// messages with one endpoint each.
+TEST_CASE("endpoints that are reported at about the same time are sent in few messages") {
+  SelfFormingCluster cluster;
   cluster.network.startAll();
-  REQUIRE(cluster.settles());
+  REQUIRE(cluster.electsLeader());
   const auto node = cluster.connectNode("node");
   cluster.network.send(node, runtime::makeEnvelope(wire::NodeSubscribeT()));
   cluster.network.runFor(milliseconds(200));
--- a/tests/store/store_fixture.h
+++ b/tests/store/store_fixture.h
@@ -12,7 +12,8 @@
 
 namespace cometstand::store::test {
 
-/// Three replicas in memory with a bootstrap credential, and the operators' and relays' side of the protocol.
+/// Three replicas on an in-memory network with a bootstrap credential. Also provides the client side of the
+/// protocol for operators and relays.
 class Trio {
  public:
   static constexpr const char* kToken = "bootstrap-token";
@@ -25,7 +26,7 @@
     }
   }
 
-  /// Starts all and waits for a leader that every replica knows.
+  /// Starts all replicas and waits until every replica knows the leader.
   void begin() {
     network.startAll();
     waitForLeader();
@@ -43,11 +44,11 @@
       }
       return true;
     });
-    if (!found) throw std::runtime_error("no leader was elected");
+    if (!found) throw std::runtime_error("no leader was elected in time");
     return *network.leader();
   }
 
-  /// @return an identifier that was not used before.
+  /// @return a request identifier that has not been used before.
   std::string nextId() {
     ++last_id_;
     return makeRequestId(1'000'000 + last_id_, last_id_);
@@ -63,17 +64,18 @@
     return request;
   }
 
-  /// Sends a command over a link of its own.
+  /// Sends a command over a new link.
   MemoryNetwork::ClientId send(std::size_t replica, const wire::CommandRequestT& request) {
     const auto client = network.connect(replica);
     network.send(client, runtime::makeEnvelope(request, 1));
     return client;
   }
 
-  /// @return the first answer to a command.
+  /// @return the first response to a command.
   wire::CommandReplyT answer(MemoryNetwork::ClientId client) {
     auto& received = network.received(client);
-    if (!network.runUntil([&] { return !received.empty(); })) throw std::runtime_error("no answer came");
+    if (!network.runUntil([&] { return !received.empty(); }))
+      throw std::runtime_error("no response to the request arrived in time");
     return *received.front().body.AsCommandReply();
   }
 
@@ -81,7 +83,8 @@
     return answer(send(replica, command(text, nextId())));
   }
 
-  /// Opens a link as a relay and follows. @return the client once it got its first message.
+  /// Connects as a relay, subscribes and waits for the first message.
+  /// @return the client of the new link.
   MemoryNetwork::ClientId follow(std::size_t replica, const std::string& relay, const std::string& zone,
                                  std::uint64_t have_version = 0) {
     const auto client = network.connect(replica);
@@ -94,7 +97,7 @@
     request.address->port = 9;
     network.send(client, runtime::makeEnvelope(std::move(request)));
     if (!network.runUntil([&] { return !network.received(client).empty(); })) {
-      throw std::runtime_error("a relay got no answer");
+      throw std::runtime_error("no response to the subscription of a relay arrived in time");
     }
     return client;
   }
@@ -107,7 +110,7 @@
     const auto is_answer = [&](const wire::EnvelopeT& envelope) { return envelope.request_id == last_id_; };
     const auto find = [&] { return std::find_if(received.begin(), received.end(), is_answer); };
     if (!network.runUntil([&] { return find() != received.end(); }))
-      throw std::runtime_error("no answer came");
+      throw std::runtime_error("no response to the request arrived in time");
     return *find()->body.AsClaimReply();
   }
 
--- a/tests/store/voter_spread_test.cpp
+++ b/tests/store/voter_spread_test.cpp
@@ -1,4 +1,4 @@
-// The steps that spread voters over zones.
+// Tests the choice of voter replacements that spread the voters over zones.
 #include <catch2/catch.hpp>
 
 #include "store/voter_spread.h"
@@ -16,43 +16,45 @@
   return membership;
 }
 
-/// @return the step for one learner, of id 100.
-std::optional<consensus::MembershipChange> stepFor(const std::vector<std::string>& voter_zones,
-                                                   const std::string& learner_zone, std::size_t zones = 1) {
+/// @return the proposed replacement with one learner, whose identifier is 100.
+std::optional<consensus::MembershipChange> spreadChangeFor(const std::vector<std::string>& voter_zones,
+                                                           const std::string& learner_zone,
+                                                           std::size_t lost_zones = 1) {
   wire::ReplicaT learner;
   learner.zone = learner_zone;
-  return spreadStep(membershipOf(voter_zones), {{100, &learner}}, zones, 1);
+  return nextSpreadChange(membershipOf(voter_zones), {{100, &learner}}, lost_zones, 1);
 }
 
 }  // namespace
 
-TEST_CASE("a majority outlasts the loss of the fullest zones or does not") {
-  CHECK(outlastsZones({{"a", 1}, {"b", 1}, {"c", 1}}, 1));
-  CHECK_FALSE(outlastsZones({{"a", 2}, {"b", 1}}, 1));
-  CHECK(outlastsZones({{"a", 2}, {"b", 2}, {"c", 1}}, 1));
-  CHECK_FALSE(outlastsZones({{"a", 2}, {"b", 2}, {"c", 1}}, 2));
-  CHECK(outlastsZones({{"a", 1}, {"b", 1}, {"c", 1}, {"d", 1}, {"e", 1}}, 2));
+TEST_CASE(
+    "a majority survives the loss of the zones with the most voters only if enough voters are elsewhere") {
+  CHECK(survivesZoneLosses({{"a", 1}, {"b", 1}, {"c", 1}}, 1));
+  CHECK_FALSE(survivesZoneLosses({{"a", 2}, {"b", 1}}, 1));
+  CHECK(survivesZoneLosses({{"a", 2}, {"b", 2}, {"c", 1}}, 1));
+  CHECK_FALSE(survivesZoneLosses({{"a", 2}, {"b", 2}, {"c", 1}}, 2));
+  CHECK(survivesZoneLosses({{"a", 1}, {"b", 1}, {"c", 1}, {"d", 1}, {"e", 1}}, 2));
 }
 
-TEST_CASE("a step of the spread takes from the fullest zone, and never the leader") {
-  const auto step = stepFor({"a", "a", "b"}, "c");
-  REQUIRE(step);
-  CHECK(step->kind == consensus::MembershipChangeKind::ReplaceVoter);
-  CHECK(step->replica.id == 100);
-  CHECK(step->replaced == 2);
+TEST_CASE("a voter in the zone with the most voters is replaced, but never the leader") {
+  const auto change = spreadChangeFor({"a", "a", "b"}, "c");
+  REQUIRE(change);
+  CHECK(change->kind == consensus::MembershipChangeKind::ReplaceVoter);
+  CHECK(change->replica.id == 100);
+  CHECK(change->replaced == 2);
 }
 
-TEST_CASE("a step that makes the numbers of the zones no more equal is not taken") {
-  CHECK_FALSE(stepFor({"a", "b", "c"}, "a"));
-  CHECK_FALSE(stepFor({"a", "b", "c"}, "d"));
-  CHECK_FALSE(stepFor({"a", "a", "b"}, "b"));
-  CHECK_FALSE(stepFor({"", "", ""}, ""));
+TEST_CASE("a replacement that does not balance the number of voters in the zones is not proposed") {
+  CHECK_FALSE(spreadChangeFor({"a", "b", "c"}, "a"));
+  CHECK_FALSE(spreadChangeFor({"a", "b", "c"}, "d"));
+  CHECK_FALSE(spreadChangeFor({"a", "a", "b"}, "b"));
+  CHECK_FALSE(spreadChangeFor({"", "", ""}, ""));
 }
 
-TEST_CASE("a step whose first half would outlast fewer zones is not taken") {
+TEST_CASE("a replacement that would survive fewer zone losses while both replicas vote is not proposed") {
   const std::vector<std::string> voters{"a", "a", "a", "b", "c", "d", "e", "f", "g"};
-  CHECK_FALSE(stepFor(voters, "b", 2));
-  CHECK(stepFor(voters, "h", 2));
+  CHECK_FALSE(spreadChangeFor(voters, "b", 2));
+  CHECK(spreadChangeFor(voters, "h", 2));
 }
 
 }  // namespace cometstand::store::test
--- a/tests/store/zoned_cluster.h
+++ b/tests/store/zoned_cluster.h
@@ -12,17 +12,17 @@
 
 namespace cometstand::store::test {
 
-/// Replicas of given zones that form a cluster from the first of them.
+/// A cluster of replicas in given zones. The first `seeds` replicas are the seeds.
 class ZonedCluster {
  public:
   ZonedCluster(std::vector<std::string> zones, std::size_t seeds, std::size_t voters, std::uint64_t seed = 1,
                std::size_t zone_losses = 1)
       : network(0, seed), zones_(std::move(zones)), seeds_(seeds), voters_(voters), losses_(zone_losses) {
     for (std::size_t i = 0; i < zones_.size(); ++i) network.addReplica(i + 1);
-    for (std::size_t i = 0; i < zones_.size(); ++i) setUp(i, true);
+    for (std::size_t i = 0; i < zones_.size(); ++i) configureReplica(i, true);
   }
 
-  void setUp(std::size_t index, bool bootstrap) {
+  void configureReplica(std::size_t index, bool bootstrap) {
     auto& options = network.options(index);
     options.bootstrap = bootstrap;
     options.self.zone = zones_.at(index);
@@ -34,7 +34,7 @@
     }
   }
 
-  /// The machines of the zone are gone, their disks with them.
+  /// Stops the running replicas of the zone and deletes their disks.
   void loseZone(const std::string& zone) {
     for (std::size_t i = 0; i < zones_.size(); ++i) {
       if (zones_[i] != zone || !network.isRunning(i)) continue;
@@ -43,7 +43,7 @@
     }
   }
 
-  /// The machines of the zone lose power; their disks stay.
+  /// Crashes the replicas of the zone as on a power failure; their disks remain.
   void stopZone(const std::string& zone) {
     for (std::size_t i = 0; i < zones_.size(); ++i) {
       if (zones_[i] == zone) network.crash(i);
@@ -53,17 +53,17 @@
   void startZone(const std::string& zone) {
     for (std::size_t i = 0; i < zones_.size(); ++i) {
       if (zones_[i] != zone) continue;
-      setUp(i, false);
+      configureReplica(i, false);
       network.start(i);
     }
   }
 
-  /// The machines of the zone come back with empty disks.
+  /// Starts the replicas of the zone with empty disks and new identifiers.
   void restoreZone(const std::string& zone) {
     for (std::size_t i = 0; i < zones_.size(); ++i) {
       if (zones_[i] != zone) continue;
       network.options(i).self.id += zones_.size();
-      setUp(i, false);
+      configureReplica(i, false);
       network.start(i);
     }
   }
@@ -74,13 +74,13 @@
   }
 
   VotersByZone spread() {
-    const auto now = membership();
-    return now && now->replaced == 0 ? votersByZone(*now) : VotersByZone();
+    const auto current = membership();
+    return current && current->replaced == 0 ? votersByZone(*current) : VotersByZone();
   }
 
   bool allVotersRun() {
-    const auto now = membership();
-    return now && std::all_of(now->voters.begin(), now->voters.end(), [this](const auto& voter) {
+    const auto current = membership();
+    return current && std::all_of(current->voters.begin(), current->voters.end(), [this](const auto& voter) {
              for (std::size_t i = 0; i < zones_.size(); ++i) {
                if (network.options(i).self.id == voter->id) return network.isRunning(i);
              }
@@ -88,14 +88,15 @@
            });
   }
 
-  bool reaches(const VotersByZone& wanted, Duration limit = std::chrono::seconds(20)) {
-    const bool is_reached = network.runUntil([&] { return spread() == wanted; }, limit);
-    // The leader has the new membership; it counts once the others have it too.
+  bool reachesSpread(const VotersByZone& expected, Duration limit = std::chrono::seconds(20)) {
+    const bool is_reached = network.runUntil([&] { return spread() == expected; }, limit);
+    // The leader uses the new membership before it is committed. The delay lets the others receive it.
     network.runFor(std::chrono::milliseconds(100));
-    return is_reached && spread() == wanted;
+    return is_reached && spread() == expected;
   }
 
-  /// Orders a change without waiting for it. @return set to true once it is acknowledged.
+  /// Submits a change without waiting for its outcome.
+  /// @return a flag that becomes true when the change is acknowledged.
   std::shared_ptr<bool> beginChange(std::uint64_t base, std::uint64_t revision) {
     auto acknowledged = std::make_shared<bool>(false);
     const auto leader = network.leader();
@@ -115,10 +116,10 @@
     return acknowledged;
   }
 
-  /// @return what the leader answers a read with; nothing if nobody leads in time.
+  /// @return the revision that the leader reads; nothing if no read succeeds within the limit.
   std::optional<std::uint64_t> read(Duration limit = std::chrono::seconds(10)) {
     std::optional<std::uint64_t> revision;
-    const auto ask = [&] {
+    const auto send_read = [&] {
       const auto leader = network.leader();
       if (!leader) return;
       network.call(*leader, [&](StoreCore& core, TimePoint now) {
@@ -131,7 +132,7 @@
     };
     for (Duration waited = Duration::zero(); !revision && waited < limit;
          waited += std::chrono::milliseconds(100)) {
-      ask();
+      send_read();
       network.runFor(std::chrono::milliseconds(100));
     }
     return revision;
