--- a/src/consensus/consensus.cpp
+++ b/src/consensus/consensus.cpp
@@ -150,7 +150,7 @@
   if (role_ == Role::Failed) return;
   beginEvent(now);
   synced_write_ = std::max(synced_write_, write);
-  log_.onWritten(write);
+  log_.onSynced(write);
   if (role_ == Role::Candidate) countVotes();
   if (role_ == Role::Leader) updateLeaderState();
 }
@@ -245,7 +245,7 @@
     resolveReads();
     const bool needs_round =
         !leader_state_->reads.empty() && leader_state_->reads.back().round > leader_state_->rounds.current();
-    if (needs_round && leader_state_->quorum_round == leader_state_->rounds.current()) {
+    if (needs_round && leader_state_->quorum_round_number == leader_state_->rounds.current()) {
       beginRound();
       updateLeaderState();
     }
--- a/src/consensus/consensus_leader.cpp
+++ b/src/consensus/consensus_leader.cpp
@@ -20,7 +20,7 @@
   updateFollowers();
   // Committing a no-op of the current term also commits the entries of earlier leaders (section 8 of the
   // paper).
-  leader_state_->first_index = appendAsLeader(wire::EntryKind::Noop, {});
+  leader_state_->term_start_index = appendAsLeader(wire::EntryKind::Noop, {});
   beginRound();
 }
 
@@ -54,7 +54,7 @@
   }
   // Until an entry of the current term is committed, the commit index may be lower than that of an earlier
   // leader.
-  const LogIndex read_index = std::max(commit_index_, leader_state_->first_index);
+  const LogIndex read_index = std::max(commit_index_, leader_state_->term_start_index);
   leader_state_->reads.push_back({ticket, leader_state_->rounds.current() + 1, read_index});
 }
 
@@ -196,18 +196,18 @@
 void Consensus::confirmRounds() {
   const auto number = quorumOf<std::uint64_t>(
       leader_state_->rounds.current(), [](const auto& progress) { return progress.acked_round.number; });
-  if (number <= leader_state_->quorum_round) return;
-  leader_state_->quorum_round = number;
+  if (number <= leader_state_->quorum_round_number) return;
+  leader_state_->quorum_round_number = number;
   const auto round = leader_state_->rounds.find(number);
   // Until the leader has committed an entry in its term, its commit index may be lower than that of an
   // earlier leader.
-  const bool has_committed_in_term = commit_index_ >= leader_state_->first_index;
+  const bool has_committed_in_term = commit_index_ >= leader_state_->term_start_index;
   if (round && has_committed_in_term) output_.quorum_round = {term_, number, round->began_at, commit_index_};
 }
 
 void Consensus::resolveReads() {
   auto& reads = leader_state_->reads;
-  while (!reads.empty() && reads.front().round <= leader_state_->quorum_round &&
+  while (!reads.empty() && reads.front().round <= leader_state_->quorum_round_number &&
          reads.front().read_index <= commit_index_) {
     output_.reads.push_back({reads.front().ticket, true, reads.front().read_index});
     reads.pop_front();
--- a/src/consensus/consensus_membership.cpp
+++ b/src/consensus/consensus_membership.cpp
@@ -27,7 +27,7 @@
   // A leader that has not committed an entry in its term could start a change while one of an earlier leader
   // is still uncommitted; the quorums of the two might not overlap (Ongaro, "bug in single-server membership
   // changes", raft-dev, 2015).
-  if (commit_index_ < leader_state_->first_index) {
+  if (commit_index_ < leader_state_->term_start_index) {
     throw Error(ErrorKind::Unavailable, "the leader has not committed an entry in its term yet",
                 "repeat the change", options_.heartbeat_interval);
   }
@@ -102,7 +102,7 @@
 void Consensus::finishReplacement() {
   const wire::MembershipT& membership = log_.membership();
   const bool is_ready =
-      commit_index_ >= leader_state_->first_index && log_.membershipIndex() <= commit_index_;
+      commit_index_ >= leader_state_->term_start_index && log_.membershipIndex() <= commit_index_;
   if (membership.replaced == 0 || !is_ready) return;
   MembershipChange removal;
   removal.kind = MembershipChangeKind::RemoveReplica;
--- a/src/consensus/leader_state.h
+++ b/src/consensus/leader_state.h
@@ -39,7 +39,7 @@
 enum class ReplicationMode : std::uint8_t {
   /// The match index is unknown: the leader sends one append request at a time to find it.
   Probe,
-  /// The leader sends append requests without waiting for earlier responses.
+  /// The leader sends append requests without waiting for earlier replies.
   Pipeline,
   /// The follower needs entries that are no longer in memory: the leader sends a snapshot instead.
   Snapshot,
@@ -60,7 +60,7 @@
   std::optional<TimePoint> snapshot_sent_at;
   /// Newest heartbeat round that the follower acknowledged.
   Round acked_round;
-  /// Incarnation named in the follower's responses; nothing before the first response.
+  /// Incarnation named in the follower's replies; nothing before the first reply.
   std::optional<std::uint64_t> incarnation;
 
   /// Records that the follower has synced the log up to `index`.
@@ -92,12 +92,12 @@
   std::map<ReplicaId, FollowerProgress> followers;
   RoundTracker rounds;
   /// Newest heartbeat round that a quorum acknowledged.
-  std::uint64_t quorum_round = 0;
+  std::uint64_t quorum_round_number = 0;
   std::deque<PendingRead> reads;
   TimePoint next_heartbeat;
   /// Index of the no-op entry that the leader appended at the start of its term (section 8 of the Raft
   /// paper).
-  LogIndex first_index = 0;
+  LogIndex term_start_index = 0;
   std::optional<LeadershipTransfer> transfer;
 };
 
--- a/src/consensus/membership.h
+++ b/src/consensus/membership.h
@@ -36,7 +36,7 @@
   bool is_learner = false;
   /// Last log index known to be synced to the follower's disk.
   LogIndex match_index = 0;
-  /// True if the replica responded within the last election timeout.
+  /// True if the replica replied within the last election timeout.
   bool is_active = false;
 };
 
@@ -69,7 +69,7 @@
 /// the Raft dissertation).
 /// @return the membership with one replica added, promoted or removed. For ReplaceVoter, the learner is
 /// promoted and the voter to remove is recorded in `replaced`.
-/// @param reported_incarnation incarnation that the replica to be promoted named in its responses.
+/// @param reported_incarnation incarnation that the replica to be promoted named in its replies.
 /// @throw Error(NotFound), Error(Conflict) or Error(Invalid) if the change cannot be applied to the
 /// membership.
 wire::MembershipT applyChange(const wire::MembershipT& membership, const MembershipChange& change,
--- a/src/consensus/replicated_log.cpp
+++ b/src/consensus/replicated_log.cpp
@@ -111,7 +111,7 @@
   return record->membership;
 }
 
-void ReplicatedLog::onWritten(runtime::WriteId write) {
+void ReplicatedLog::onSynced(runtime::WriteId write) {
   while (!pending_syncs_.empty() && pending_syncs_.front().write <= write) {
     synced_index_ = std::max(synced_index_, pending_syncs_.front().last_index);
     pending_syncs_.pop_front();
--- a/src/consensus/replicated_log.h
+++ b/src/consensus/replicated_log.h
@@ -67,7 +67,7 @@
   /// @return the last log index known to be synced to this replica's disk.
   LogIndex syncedIndex() const { return synced_index_; }
   /// Called when a file operation is synced, which implies that all earlier ones are synced, too.
-  void onWritten(runtime::WriteId write);
+  void onSynced(runtime::WriteId write);
 
   /// @throw std::logic_error if an invariant does not hold.
   void checkInvariants() const;
--- a/tests/consensus/election_test.cpp
+++ b/tests/consensus/election_test.cpp
@@ -3,7 +3,7 @@
 
 #include "base/error.h"
 #include "simulated_cluster.h"
-#include "solo_replica.h"
+#include "single_replica_harness.h"
 
 namespace cometstand::consensus {
 
@@ -18,19 +18,19 @@
   const ReplicaId other = leader % 3 + 1;
   SECTION("no messages in either direction") { cluster.isolate(other); }
   SECTION("its messages arrive, but it receives none") {
-    for (const ReplicaId id : cluster.ids()) cluster.cut(id, other);
+    for (const ReplicaId id : cluster.ids()) cluster.blockLink(id, other);
   }
-  SECTION("it receives messages from all replicas but the leader") { cluster.cut(leader, other); }
+  SECTION("it receives messages from all replicas but the leader") { cluster.blockLink(leader, other); }
   cluster.runFor(seconds(10));
   cluster.heal();
   cluster.runFor(seconds(2));
   CHECK(cluster.at(leader).leadership.role == Role::Leader);
   CHECK(cluster.at(other).leadership.term == term);
-  CHECK(cluster.commitEverywhere(cluster.ids()));
+  CHECK(cluster.commitOnAll(cluster.ids()));
 }
 
 TEST_CASE("a voter in recent contact with a leader ignores vote requests of a newer term") {
-  SoloReplica replica;
+  SingleReplicaHarness replica;
   wire::AppendRequestT heartbeat;
   heartbeat.term = 5;
   heartbeat.leader = 2;
@@ -57,8 +57,8 @@
 }
 
 TEST_CASE("a vote is synced before the reply is sent") {
-  SoloReplica replica;
-  replica.disk.held = true;
+  SingleReplicaHarness replica;
+  replica.disk.is_blocked = true;
   wire::VoteRequestT request;
   request.term = 2;
   request.candidate = 3;
@@ -67,13 +67,13 @@
   replica.receive(3, request);
   CHECK(replica.takeSent(&ConsensusBodyUnion::AsVoteReply).empty());
   SECTION("the reply is sent after the sync") {
-    replica.disk.held = false;
-    replica.settle();
+    replica.disk.is_blocked = false;
+    replica.runUntilIdle();
     CHECK(replica.takeSent(&ConsensusBodyUnion::AsVoteReply).at(0).granted);
   }
   SECTION("after a restart no vote is granted to another candidate in the same term") {
-    replica.disk.held = false;
-    replica.settle();
+    replica.disk.is_blocked = false;
+    replica.runUntilIdle();
     Consensus restarted(
         SimulatedCluster::testOptions(),
         [] {
@@ -95,17 +95,17 @@
 }
 
 TEST_CASE("a candidate's own vote is synced before vote requests are sent and before it is counted") {
-  SoloReplica replica;
-  replica.timeOut();
+  SingleReplicaHarness replica;
+  replica.expireNextTimer();
   replica.sent.clear();
-  replica.disk.held = true;
+  replica.disk.is_blocked = true;
   replica.receiveVote(2, 2, true);
   CHECK(replica->leadership().role == Role::Candidate);
   CHECK(replica.takeSent(&ConsensusBodyUnion::AsVoteRequest).empty());
   replica.receiveVote(2, 2, false);
   CHECK(replica->leadership().role == Role::Candidate);
-  replica.disk.held = false;
-  replica.settle();
+  replica.disk.is_blocked = false;
+  replica.runUntilIdle();
   CHECK(replica->leadership().role == Role::Leader);
 }
 
@@ -114,7 +114,7 @@
   const ReplicaId leader = cluster.waitForLeader();
   const ReplicaId behind = leader % 3 + 1;
   cluster.isolate(behind);
-  REQUIRE(cluster.commitMany(leader, 10));
+  REQUIRE(cluster.commitEntries(leader, 10));
   cluster.crash(leader);
   cluster.heal();
   cluster.runFor(seconds(5));
@@ -123,7 +123,7 @@
 }
 
 TEST_CASE("only entries of the leader's current term are committed by counting replicas") {
-  SoloReplica replica;
+  SingleReplicaHarness replica;
   wire::AppendRequestT request;
   request.term = 2;
   request.leader = 2;
@@ -146,7 +146,7 @@
 TEST_CASE("a replica counts towards the commit quorum of an entry only after syncing it") {
   SimulatedCluster cluster(3, 3);
   const ReplicaId leader = cluster.waitForLeader();
-  REQUIRE(cluster.commitEverywhere(cluster.ids()));
+  REQUIRE(cluster.commitOnAll(cluster.ids()));
   const LogIndex before = cluster.checker().lastApplied();
   const ReplicaId other = leader % 3 + 1;
   SECTION("neither follower has synced it") {
@@ -160,7 +160,7 @@
   cluster.runFor(milliseconds(200));
   CHECK(cluster.checker().lastApplied() == before);
   for (const ReplicaId id : cluster.ids()) cluster.holdDisk(id, false);
-  CHECK(cluster.commitEverywhere(cluster.ids()));
+  CHECK(cluster.commitOnAll(cluster.ids()));
 }
 
 TEST_CASE("a leader without contact to a quorum steps down") {
@@ -176,15 +176,15 @@
     CHECK_FALSE(cluster.at(leader).reads.at(ticket).confirmed);
   }
   SECTION("its messages arrive, but it receives none") {
-    for (const ReplicaId id : cluster.ids()) cluster.cut(id, leader);
+    for (const ReplicaId id : cluster.ids()) cluster.blockLink(id, leader);
     cluster.runFor(seconds(1));
     CHECK(cluster.at(leader).leadership.role != Role::Leader);
   }
   SECTION("suspended: steps down at the first event, before it handles a read or a proposal") {
-    cluster.freeze(leader, seconds(5));
+    cluster.suspend(leader, seconds(5));
     REQUIRE(cluster.waitForLeader(leader) != 0);
     cluster.runFor(seconds(1));
-    cluster.at(leader).frozen_until = {};
+    cluster.at(leader).suspended_until = {};
     CHECK(cluster.consensus(leader).leadership().role == Role::Leader);
     const ReadTicket ticket = cluster.requestRead(leader);
     CHECK_FALSE(cluster.at(leader).reads.at(ticket).confirmed);
@@ -193,21 +193,21 @@
   SECTION(
       "resumed before its quorum contact expires, after another leader was elected: a read is not "
       "confirmed") {
-    cluster.freeze(leader, seconds(5));
+    cluster.suspend(leader, seconds(5));
     REQUIRE(cluster.waitForLeader(leader) != 0);
-    cluster.at(leader).frozen_until = {};
+    cluster.at(leader).suspended_until = {};
     const ReadTicket ticket = cluster.requestRead(leader);
     cluster.runFor(seconds(1));
     CHECK_FALSE(cluster.at(leader).reads.at(ticket).confirmed);
   }
   SECTION("suspended with old replies queued: they do not count as contact") {
-    cluster.freeze(leader, seconds(5));
+    cluster.suspend(leader, seconds(5));
     cluster.runFor(seconds(5));
     cluster.runUntil([&] { return cluster.at(leader).leadership.role != Role::Leader; }, milliseconds(1));
     CHECK(cluster.at(leader).leadership.role != Role::Leader);
   }
   cluster.heal();
-  CHECK(cluster.commitEverywhere(cluster.ids()));
+  CHECK(cluster.commitOnAll(cluster.ids()));
 }
 
 TEST_CASE("leadership transfer") {
@@ -220,7 +220,7 @@
     CHECK_FALSE(cluster.propose(leader));
     cluster.runFor(milliseconds(100));
     CHECK(cluster.at(target).leadership.role == Role::Leader);
-    CHECK(cluster.commitEverywhere(cluster.ids()));
+    CHECK(cluster.commitOnAll(cluster.ids()));
   }
   SECTION("if the target is down, the leader accepts proposals again") {
     cluster.crash(target);
@@ -233,7 +233,7 @@
 }
 
 TEST_CASE("a read is confirmed by a heartbeat round that begins after the request") {
-  SoloReplica replica;
+  SingleReplicaHarness replica;
   replica.becomeLeader();
   SECTION("not before an entry of the leader's term is committed") {
     replica->requestRead(ReadTicket{7}, replica.now);
@@ -247,10 +247,10 @@
   SECTION("a reply to an earlier round does not count") {
     replica.receiveAck(2, 2, 1);
     replica->onTimer(replica.now += SimulatedCluster::testOptions().heartbeat_interval);
-    replica.settle();
+    replica.runUntilIdle();
     // Round 2 is sent but not acknowledged.
     replica->requestRead(ReadTicket{7}, replica.now);
-    replica.settle();
+    replica.runUntilIdle();
     replica.receiveAck(2, 2, 2);
     CHECK(replica.reads.empty());
     replica.receiveAck(3, 2, 3);
--- a/tests/consensus/log_storage_test.cpp
+++ b/tests/consensus/log_storage_test.cpp
@@ -5,7 +5,7 @@
 #include "base/error.h"
 #include "consensus/log_storage.h"
 #include "simulated_cluster.h"
-#include "solo_replica.h"
+#include "single_replica_harness.h"
 
 namespace cometstand::consensus {
 namespace {
@@ -174,7 +174,7 @@
 }
 
 TEST_CASE("a follower acknowledges a snapshot only after syncing it") {
-  SoloReplica replica;
+  SingleReplicaHarness replica;
   wire::SnapshotRequestT request;
   request.term = 1;
   request.leader = 2;
@@ -182,18 +182,18 @@
   request.snapshot->last_index = 50;
   request.snapshot->last_term = 1;
   request.snapshot->membership = std::make_shared<wire::MembershipT>(replica->membership());
-  replica.disk.held = true;
+  replica.disk.is_blocked = true;
   replica.receive(2, request);
   CHECK(replica.takeSent(&wire::ConsensusBodyUnion::AsSnapshotReply).empty());
-  replica.disk.held = false;
-  replica.settle();
+  replica.disk.is_blocked = false;
+  replica.runUntilIdle();
   CHECK(replica.takeSent(&wire::ConsensusBodyUnion::AsSnapshotReply).at(0).match_index == 50);
 }
 
 TEST_CASE("a follower that is too far behind receives a snapshot") {
   SimulatedCluster cluster(3, 9);
   ReplicaId leader = cluster.waitForLeader();
-  REQUIRE(cluster.commitEverywhere(cluster.ids()));
+  REQUIRE(cluster.commitOnAll(cluster.ids()));
   ReplicaId behind = leader % 3 + 1;
   SECTION("whose log matches the leader's") { cluster.isolate(behind); }
   SECTION("whose log has uncommitted entries that no other replica has") {
@@ -204,13 +204,13 @@
   }
   cluster.runFor(std::chrono::seconds(1));
   const LogIndex before = cluster.checker().lastApplied();
-  REQUIRE(cluster.commitMany(leader, 300));
+  REQUIRE(cluster.commitEntries(leader, 300));
   cluster.heal();
-  CHECK(cluster.commitEverywhere(cluster.ids()));
+  CHECK(cluster.commitOnAll(cluster.ids()));
   cluster.crash(behind);
   cluster.start(behind);
   CHECK(cluster.at(behind).applied_index > before);
-  CHECK(cluster.commitEverywhere(cluster.ids()));
+  CHECK(cluster.commitOnAll(cluster.ids()));
 }
 
 }  // namespace cometstand::consensus
--- a/tests/consensus/membership_test.cpp
+++ b/tests/consensus/membership_test.cpp
@@ -4,7 +4,7 @@
 
 #include "base/error.h"
 #include "simulated_cluster.h"
-#include "solo_replica.h"
+#include "single_replica_harness.h"
 
 namespace cometstand::consensus {
 namespace {
@@ -23,7 +23,7 @@
 void addLearner(SimulatedCluster& cluster, ReplicaId leader, ReplicaId id) {
   cluster.start(id);
   cluster.change(leader, MembershipChangeKind::AddLearner, id);
-  REQUIRE(cluster.commitEverywhere({leader, id}));
+  REQUIRE(cluster.commitOnAll({leader, id}));
   cluster.runFor(milliseconds(200));
 }
 
@@ -91,11 +91,11 @@
 TEST_CASE("after a lost voter is replaced, the cluster tolerates the loss of a second one") {
   SimulatedCluster cluster(3, 3);
   ReplicaId leader = cluster.waitForLeader();
-  REQUIRE(cluster.commitEverywhere(cluster.ids()));
+  REQUIRE(cluster.commitOnAll(cluster.ids()));
   const ReplicaId lost = leader % 3 + 1;
   const ReplicaId second = 6 - leader - lost;
   cluster.crash(lost);
-  cluster.at(lost).disk.lose();
+  cluster.at(lost).disk.erase();
   addLearner(cluster, leader, 4);
   cluster.change(leader, MembershipChangeKind::ReplaceVoter, 4, lost);
   std::vector<ReplicaId> expected_voters{leader, second, 4};
@@ -103,10 +103,10 @@
   REQUIRE(waitForVoters(cluster, expected_voters));
   const ReplicaId next = GENERATE(0, 1) == 0 ? leader : second;
   cluster.crash(next);
-  cluster.at(next).disk.lose();
+  cluster.at(next).disk.erase();
   const ReplicaId survivor = leader + second - next;
   REQUIRE(cluster.waitForLeader() != 0);
-  CHECK(cluster.commitEverywhere({survivor, 4}));
+  CHECK(cluster.commitOnAll({survivor, 4}));
 }
 
 TEST_CASE("the next leader completes the replacement of a voter") {
@@ -114,7 +114,7 @@
   const ReplicaId leader = cluster.waitForLeader();
   const ReplicaId lost = leader % 5 + 1;
   cluster.crash(lost);
-  cluster.at(lost).disk.lose();
+  cluster.at(lost).disk.erase();
   addLearner(cluster, leader, 6);
   const LogIndex promotion = cluster.change(leader, MembershipChangeKind::ReplaceVoter, 6, lost);
   REQUIRE(cluster.runUntil([&] {
@@ -146,7 +146,7 @@
 TEST_CASE("a membership change is rejected while another one is in progress") {
   SimulatedCluster cluster(3, 6);
   const ReplicaId leader = cluster.waitForLeader();
-  REQUIRE(cluster.commitEverywhere(cluster.ids()));
+  REQUIRE(cluster.commitOnAll(cluster.ids()));
   cluster.change(leader, MembershipChangeKind::AddLearner, 4);
   try {
     cluster.change(leader, MembershipChangeKind::AddLearner, 5);
@@ -157,7 +157,7 @@
 }
 
 TEST_CASE("a new leader rejects membership changes until it has committed an entry of its term") {
-  SoloReplica replica;
+  SingleReplicaHarness replica;
   replica.becomeLeader();
   MembershipChange change;
   change.replica.id = 4;
@@ -172,9 +172,9 @@
 }
 
 TEST_CASE("votes and acknowledgements with an incarnation other than the voter's are ignored") {
-  SoloReplica replica;
+  SingleReplicaHarness replica;
   SECTION("votes") {
-    replica.timeOut();
+    replica.expireNextTimer();
     replica.receiveVote(2, 2, true);
     replica.peer_incarnation = 77;
     replica.receiveVote(2, 2, false);
@@ -191,10 +191,10 @@
 TEST_CASE("a replica that restarts with an empty data folder under its old id does not participate") {
   SimulatedCluster cluster(3, 7);
   const ReplicaId leader = cluster.waitForLeader();
-  REQUIRE(cluster.commitEverywhere(cluster.ids()));
+  REQUIRE(cluster.commitOnAll(cluster.ids()));
   const ReplicaId lost = leader % 3 + 1;
   cluster.crash(lost);
-  cluster.at(lost).disk.lose();
+  cluster.at(lost).disk.erase();
   cluster.crash(6 - leader - lost);
   std::size_t sent = 0;
   cluster.on_send = [&](const wire::ConsensusMessageT& message) { sent += message.from == lost; };
@@ -210,7 +210,7 @@
 TEST_CASE("a replica stops participating after a disk failure") {
   SimulatedCluster cluster(3, 8);
   const ReplicaId leader = cluster.waitForLeader();
-  REQUIRE(cluster.commitEverywhere(cluster.ids()));
+  REQUIRE(cluster.commitOnAll(cluster.ids()));
   const ReadTicket ticket = cluster.requestRead(leader);
   cluster.failDisk(leader);
   CHECK(cluster.at(leader).leadership.role == Role::Failed);
@@ -220,7 +220,7 @@
   cluster.on_send = [&](const wire::ConsensusMessageT& message) { sent += message.from == leader; };
   const ReplicaId next = cluster.waitForLeader(leader);
   REQUIRE(next != 0);
-  CHECK(cluster.commitEverywhere({next}));
+  CHECK(cluster.commitOnAll({next}));
   CHECK(sent == 0);
 }
 
--- a/tests/consensus/random_faults_test.cpp
+++ b/tests/consensus/random_faults_test.cpp
@@ -38,7 +38,7 @@
     }
     const ReplicaId leader = cluster_.waitForLeader();
     return leader != 0 && lost_voter_ == 0 &&
-           cluster_.commitEverywhere(voterIds(cluster_.consensus(leader).membership()));
+           cluster_.commitOnAll(voterIds(cluster_.consensus(leader).membership()));
   }
 
   SimulatedCluster& cluster() { return cluster_; }
@@ -50,7 +50,7 @@
       case 0:
         return cluster_.isolate(target);
       case 1:
-        return cluster_.cut(target, pickReplica());
+        return cluster_.blockLink(target, pickReplica());
       case 2:
       case 3:
         return cluster_.heal();
@@ -66,7 +66,7 @@
       case 7:
         return restartAll();
       case 8:
-        return cluster_.freeze(target, random_.uniform(milliseconds(50), seconds(3)));
+        return cluster_.suspend(target, random_.uniform(milliseconds(50), seconds(3)));
       case 9:
         return loseDisk(target);
       case 10:
@@ -102,7 +102,7 @@
     const bool is_voter = leader != 0 && isVoter(cluster_.consensus(leader).membership(), target);
     if (!is_voter || lost_voter_ != 0) return;
     if (cluster_.isUp(target)) cluster_.crash(target);
-    cluster_.at(target).disk.lose();
+    cluster_.at(target).disk.erase();
     lost_voter_ = target;
     replacement_ = next_replica_id_++;
     cluster_.start(replacement_);
@@ -136,7 +136,9 @@
     }
   }
 
-  bool isActive(ReplicaId id) { return cluster_.isUp(id) && cluster_.now() >= cluster_.at(id).frozen_until; }
+  bool isActive(ReplicaId id) {
+    return cluster_.isUp(id) && cluster_.now() >= cluster_.at(id).suspended_until;
+  }
   bool isLeader(ReplicaId id) { return cluster_.at(id).leadership.role == Role::Leader; }
 
   ReplicaId pickReplica() {
--- a/tests/consensus/simulated_cluster.cpp
+++ b/tests/consensus/simulated_cluster.cpp
@@ -75,11 +75,11 @@
 void SimulatedCluster::crash(ReplicaId id) {
   at(id).consensus.reset();
   at(id).disk.crash(random_);
-  at(id).frozen_until = {};
+  at(id).suspended_until = {};
 }
 
 void SimulatedCluster::holdDisk(ReplicaId id, bool held) {
-  at(id).disk.held = held;
+  at(id).disk.is_blocked = held;
   scheduleWrite(id);
 }
 
@@ -91,8 +91,8 @@
 void SimulatedCluster::isolate(ReplicaId id) {
   for (const auto& [other, replica] : replicas_) {
     if (other == id) continue;
-    cut(id, other);
-    cut(other, id);
+    blockLink(id, other);
+    blockLink(other, id);
   }
 }
 
@@ -143,8 +143,8 @@
   for (const auto& [id, replica] : replicas_) {
     if (!replica->consensus) continue;
     const TimePoint due = replica->consensus->nextTimer();
-    if (due == TimePoint::max() || std::max(due, replica->frozen_until) >= next) continue;
-    next = std::max(due, replica->frozen_until);
+    if (due == TimePoint::max() || std::max(due, replica->suspended_until) >= next) continue;
+    next = std::max(due, replica->suspended_until);
     timer = id;
   }
   if (next > limit) return false;
@@ -165,8 +165,8 @@
   const bool is_stale =
       !replica.consensus || (event.start_count != 0 && event.start_count != replica.start_count);
   if (is_stale) return;
-  if (now_ < replica.frozen_until) {
-    events_.emplace(replica.frozen_until, event);
+  if (now_ < replica.suspended_until) {
+    events_.emplace(replica.suspended_until, event);
     return;
   }
   deliver(replica, event);
@@ -176,7 +176,7 @@
 void SimulatedCluster::deliver(SimulatedReplica& replica, const Event& event) {
   if (event.message) return replica.consensus->onMessage(*event.message, now_);
   replica.write_is_scheduled = false;
-  if (replica.disk.held || replica.disk.isIdle()) return;
+  if (replica.disk.is_blocked || replica.disk.isIdle()) return;
   replica.consensus->onFileWritten(replica.disk.finishNext(), now_);
 }
 
@@ -229,7 +229,7 @@
 
 void SimulatedCluster::scheduleWrite(ReplicaId id) {
   SimulatedReplica& replica = at(id);
-  if (replica.write_is_scheduled || replica.disk.held || replica.disk.isIdle()) return;
+  if (replica.write_is_scheduled || replica.disk.is_blocked || replica.disk.isIdle()) return;
   replica.write_is_scheduled = true;
   schedule(random_.uniform(Duration(100), milliseconds(8)), {id, replica.start_count, std::nullopt});
 }
@@ -271,14 +271,14 @@
   processOutput(id);
 }
 
-bool SimulatedCluster::commitMany(ReplicaId leader, std::size_t count) {
+bool SimulatedCluster::commitEntries(ReplicaId leader, std::size_t count) {
   constexpr std::size_t kEntryBytes = 200;
   const LogIndex target = consensus(leader).lastIndex() + count;
   for (std::size_t i = 0; i < count; ++i) propose(leader, kEntryBytes);
   return runUntil([&] { return at(leader).applied_index >= target; });
 }
 
-bool SimulatedCluster::commitEverywhere(const std::vector<ReplicaId>& replicas) {
+bool SimulatedCluster::commitOnAll(const std::vector<ReplicaId>& replicas) {
   constexpr int kMaxAttempts = 30;
   for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
     std::optional<LogIndex> index;
--- a/tests/consensus/simulated_cluster.h
+++ b/tests/consensus/simulated_cluster.h
@@ -33,7 +33,7 @@
   /// Number of process starts. Events that carry an earlier number are discarded.
   std::uint64_t start_count = 0;
   bool write_is_scheduled = false;
-  TimePoint frozen_until;
+  TimePoint suspended_until;
   LogIndex applied_index = 0;
   std::uint64_t state = 0;
   Leadership leadership;
@@ -75,13 +75,13 @@
   /// the oldest one.
   void crash(ReplicaId id);
   /// Suspends the process for the duration. Its messages and timers are delayed until it resumes.
-  void freeze(ReplicaId id, Duration duration) { at(id).frozen_until = now_ + duration; }
+  void suspend(ReplicaId id, Duration duration) { at(id).suspended_until = now_ + duration; }
   /// @param held if true, no file operation of the replica finishes until the disk is released.
   void holdDisk(ReplicaId id, bool held);
   /// Reports a failed file operation to the replica.
   void failDisk(ReplicaId id);
   /// Blocks messages in one direction until heal().
-  void cut(ReplicaId from, ReplicaId to) { blocked_links_.insert({from, to}); }
+  void blockLink(ReplicaId from, ReplicaId to) { blocked_links_.insert({from, to}); }
   /// Blocks messages between the replica and all others in both directions.
   void isolate(ReplicaId id);
   void heal() { blocked_links_.clear(); }
@@ -95,10 +95,10 @@
   void compact(ReplicaId id);
   /// Proposes `count` entries at the leader.
   /// @return true if the leader applied them.
-  bool commitMany(ReplicaId leader, std::size_t count);
+  bool commitEntries(ReplicaId leader, std::size_t count);
   /// Proposes entries at the leader until one of them is applied by all listed replicas.
   /// @return false if no attempt succeeded.
-  bool commitEverywhere(const std::vector<ReplicaId>& replicas);
+  bool commitOnAll(const std::vector<ReplicaId>& replicas);
 
   NetworkFaults faults;
   /// Called for every message that a replica sends, before faults are applied.
--- a/tests/consensus/simulated_disk.h
+++ b/tests/consensus/simulated_disk.h
@@ -49,7 +49,7 @@
     pending_.clear();
   }
 
-  void lose() {
+  void erase() {
     files_.clear();
     pending_.clear();
   }
@@ -57,7 +57,7 @@
   std::map<std::string, std::vector<std::uint8_t>>& files() { return files_; }
 
   /// While true, the simulation finishes no file operation.
-  bool held = false;
+  bool is_blocked = false;
 
  private:
   void apply(const runtime::FileWrite& write, std::size_t bytes) {
--- a/tests/consensus/solo_replica.h
+++ b/tests/consensus/single_replica_harness.h
@@ -11,28 +11,28 @@
 namespace cometstand::consensus {
 
 /// Runs replica 1 of a three-voter cluster; the test constructs the messages of the other two voters.
-class SoloReplica {
+class SingleReplicaHarness {
  public:
-  SoloReplica() : consensus_(SimulatedCluster::testOptions(), member(1), RandomSource(1)) {
+  SingleReplicaHarness() : consensus_(SimulatedCluster::testOptions(), member(1), RandomSource(1)) {
     consensus_.recover(disk, now);
     wire::MembershipT membership;
     for (const ReplicaId id : {1, 2, 3}) {
       membership.voters.push_back(std::make_shared<wire::ReplicaT>(member(id)));
     }
     consensus_.bootstrap(membership, now);
-    settle();
+    runUntilIdle();
   }
 
   /// Processes outputs and completes file operations until none is pending; completes none while the disk is
-  /// held.
-  void settle() {
+  /// blocked.
+  void runUntilIdle() {
     do {
-      if (!disk.isIdle() && !disk.held) consensus_.onFileWritten(disk.finishNext(), now);
+      if (!disk.isIdle() && !disk.is_blocked) consensus_.onFileWritten(disk.finishNext(), now);
       Output output = consensus_.takeOutput();
       for (auto& write : output.writes) disk.enqueue(std::move(write));
       for (auto& message : output.messages) sent.push_back(std::move(message));
       reads.insert(reads.end(), output.reads.begin(), output.reads.end());
-    } while (!disk.isIdle() && !disk.held);
+    } while (!disk.isIdle() && !disk.is_blocked);
   }
 
   template <typename Body>
@@ -43,7 +43,7 @@
     message.to = 1;
     message.body.Set(std::move(body));
     consensus_.onMessage(message, now);
-    settle();
+    runUntilIdle();
   }
 
   void receiveVote(ReplicaId from, Term term, bool pre_vote) {
@@ -66,15 +66,15 @@
   }
 
   /// Advances the time to the next timer, the election timeout; the replica then requests pre-votes.
-  void timeOut() {
+  void expireNextTimer() {
     now = consensus_.nextTimer();
     consensus_.onTimer(now);
-    settle();
+    runUntilIdle();
   }
 
   /// Makes the replica win an election with the vote of replica 2.
   void becomeLeader() {
-    timeOut();
+    expireNextTimer();
     const Term term = consensus_.leadership().term + 1;
     receiveVote(2, term, true);
     receiveVote(2, term, false);
