--- a/src/sidecar/body_intake.h
+++ b/src/sidecar/body_intake.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <vector>
 
-#include "sidecar/gate_asker.h"
+#include "sidecar/gate_requester.h"
 #include "sidecar/receive_credit.h"
 #include "sidecar/sidecar_options.h"
 #include "sidecar/target_port.h"
--- a/src/sidecar/target_warmth.cpp
+++ b/src/sidecar/cold_start_tracker.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/target_warmth.h"
+#include "sidecar/cold_start_tracker.h"
 
 namespace cometstand::sidecar {
 namespace {
--- a/src/sidecar/quarantine.h
+++ b/src/sidecar/quarantine.h
@@ -8,7 +8,7 @@
 
 #include "mesh/content_digest.h"
 #include "runtime/process_core.h"
-#include "sidecar/run_memory.h"
+#include "sidecar/completed_contents.h"
 #include "sidecar/target_watch.h"
 
 namespace cometstand::sidecar {
--- a/src/sidecar/answer_intake.cpp
+++ b/src/sidecar/response_intake.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/answer_intake.h"
+#include "sidecar/response_intake.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/sidecar/answer_transfers.cpp
+++ b/src/sidecar/response_transfers.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/answer_transfers.h"
+#include "sidecar/response_transfers.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/sidecar/answer_transfers.h
+++ b/src/sidecar/response_transfers.h
@@ -7,7 +7,7 @@
 
 #include "runtime/action_queue.h"
 #include "schema/mesh_generated.h"
-#include "sidecar/gate_asker.h"
+#include "sidecar/gate_requester.h"
 #include "sidecar/send_rate.h"
 #include "sidecar/unconfirmed_bytes.h"
 
--- a/src/sidecar/sidecar_core.h
+++ b/src/sidecar/sidecar_core.h
@@ -6,12 +6,12 @@
 
 #include "base/error.h"
 #include "runtime/process_core.h"
-#include "sidecar/answer_transfers.h"
 #include "sidecar/arrival_times.h"
 #include "sidecar/body_intake.h"
 #include "sidecar/control_client.h"
 #include "sidecar/endpoint_subset.h"
 #include "sidecar/outbound_calls.h"
+#include "sidecar/response_transfers.h"
 
 namespace cometstand::sidecar {
 
--- a/src/sidecar/target_gate.h
+++ b/src/sidecar/target_gate.h
@@ -10,7 +10,8 @@
 
 #include "mesh/route_table.h"
 #include "sidecar/cold_rate_limit.h"
-#include "sidecar/gate_asker.h"
+#include "sidecar/cold_start_tracker.h"
+#include "sidecar/gate_requester.h"
 #include "sidecar/metrics.h"
 #include "sidecar/offered_load.h"
 #include "sidecar/quarantine.h"
@@ -18,7 +19,6 @@
 #include "sidecar/sidecar_options.h"
 #include "sidecar/target_port.h"
 #include "sidecar/target_state.h"
-#include "sidecar/target_warmth.h"
 #include "sidecar/target_watch.h"
 
 namespace cometstand::sidecar {
--- a/src/sidecar/unconfirmed_bytes.h
+++ b/src/sidecar/unconfirmed_bytes.h
@@ -5,7 +5,7 @@
 #include <map>
 
 #include "base/time.h"
-#include "sidecar/gate_asker.h"
+#include "sidecar/gate_requester.h"
 
 namespace cometstand::sidecar {
 
--- a/tests/sidecar/endpoint_directory_test.cpp
+++ b/tests/sidecar/endpoint_directory_test.cpp
@@ -2,7 +2,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "sidecar/answer_forecast.h"
+#include "sidecar/response_estimator.h"
 
 namespace cometstand::sidecar::test {
 
