--- a/src/sidecar/arrival_times.h
+++ b/src/sidecar/arrival_times.h
@@ -12,15 +12,15 @@
 /// in this sidecar, so that the requester can compute the network latency.
 class ArrivalTimes {
  public:
-  void note(const GateAsker& asker, TimePoint now) { arrivals_[asker] = now; }
-  void forget(const GateAsker& asker) { arrivals_.erase(asker); }
+  void note(const GateRequester& requester, TimePoint now) { arrivals_[requester] = now; }
+  void forget(const GateRequester& requester) { arrivals_.erase(requester); }
   /// Removes all requests of a closed link, as none of them gets a reply.
   void forgetLink(runtime::LinkId link) {
     std::erase_if(arrivals_, [link](const auto& item) { return item.first.link == link; });
   }
   /// Removes the request. @return the time since its arrival; zero if the arrival is unknown.
-  Duration take(const GateAsker& asker, TimePoint now) {
-    const auto arrival = arrivals_.find(asker);
+  Duration take(const GateRequester& requester, TimePoint now) {
+    const auto arrival = arrivals_.find(requester);
     if (arrival == arrivals_.end()) return Duration::zero();
     const Duration time = now - arrival->second;
     arrivals_.erase(arrival);
@@ -29,7 +29,7 @@
   std::size_t size() const { return arrivals_.size(); }
 
  private:
-  std::map<GateAsker, TimePoint> arrivals_;
+  std::map<GateRequester, TimePoint> arrivals_;
 };
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/body_intake.cpp
+++ b/src/sidecar/body_intake.cpp
@@ -13,15 +13,15 @@
 }  // namespace
 
 /// @return the remaining queue time of the request, but at least half of the original one: a request whose
-/// body was transferred must not be rejected because the transfer used up its queue time.
+/// body was transferred must not be refused because the transfer used up its queue time.
 std::uint32_t BodyIntake::remainingQueueTime(const Transfer& transfer, TimePoint now) {
   const Duration queue_time = std::chrono::milliseconds(transfer.request->patience_ms);
   return wholeMilliseconds(std::max(queue_time - (now - transfer.announced_at), queue_time / 2));
 }
 
-BodyIntake::Transfers::iterator BodyIntake::find(const GateAsker& asker) {
+BodyIntake::Transfers::iterator BodyIntake::find(const GateRequester& requester) {
   return std::find_if(transfers_.begin(), transfers_.end(),
-                      [&asker](const Transfer& transfer) { return transfer.asker == asker; });
+                      [&requester](const Transfer& transfer) { return transfer.requester == requester; });
 }
 
 std::size_t BodyIntake::unreceivedBytes() const {
@@ -35,30 +35,31 @@
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
-void BodyIntake::announce(const GateAsker& asker, std::shared_ptr<wire::ForwardRequestT> request,
+void BodyIntake::announce(const GateRequester& requester, std::shared_ptr<wire::ForwardRequestT> request,
                           TimePoint now) {
   const Duration queue_time = std::chrono::milliseconds(request->patience_ms);
   if (expectedWait() > queue_time) {
-    listener_.refuse(asker, *request, wire::NotRunReason::Full);
+    listener_.refuse(requester, *request, wire::NotRunReason::Full);
     return;
   }
   Transfer transfer;
-  transfer.asker = asker;
+  transfer.requester = requester;
   transfer.expected_bytes = request->announced_bytes;
   transfer.announced_at = now;
   transfer.deadline = now + std::chrono::milliseconds(request->deadline_ms);
   transfer.start_by = std::min(transfer.deadline, now + queue_time);
   transfer.request = std::move(request);
   transfer.request->body.clear();
-  const auto grant = [this, asker](std::uint32_t bytes) { listener_.grant(asker, bytes); };
+  const auto grant = [this, requester](std::uint32_t bytes) { listener_.grant(requester, bytes); };
   transfer.flow = credit_.open(transfer.request->priority, transfer.expected_bytes, grant, now);
   transfers_.push_back(std::move(transfer));
   credit_.grantMore(now);
 }
 
-void BodyIntake::onPart(const GateAsker& asker, const std::vector<std::uint8_t>& bytes, TimePoint now) {
-  const auto transfer = find(asker);
-  // The request may have been rejected or cancelled while the part was in flight.
+void BodyIntake::onPart(const GateRequester& requester, const std::vector<std::uint8_t>& bytes,
+                        TimePoint now) {
+  const auto transfer = find(requester);
+  // The request may have been refused or cancelled while the part was in flight.
   if (transfer == transfers_.end()) return;
   if (!credit_.onReceived(transfer->flow, bytes.size(), now)) return;
   auto& body = transfer->request->body;
@@ -74,11 +75,11 @@
   credit_.grantMore(now);
   done.request->deadline_ms = wholeMilliseconds(std::max(done.deadline - now, Duration::zero()));
   done.request->patience_ms = remainingQueueTime(done, now);
-  listener_.whole(done.asker, done.request);
+  listener_.whole(done.requester, done.request);
 }
 
-void BodyIntake::cancel(const GateAsker& asker, TimePoint now) {
-  const auto transfer = find(asker);
+void BodyIntake::cancel(const GateRequester& requester, TimePoint now) {
+  const auto transfer = find(requester);
   if (transfer == transfers_.end()) return;
   credit_.close(transfer->flow);
   transfers_.erase(transfer);
@@ -87,7 +88,7 @@
 
 void BodyIntake::cancelLink(runtime::LinkId link, TimePoint now) {
   transfers_.remove_if([this, link](const Transfer& transfer) {
-    if (transfer.asker.link != link) return false;
+    if (transfer.requester.link != link) return false;
     credit_.close(transfer.flow);
     return true;
   });
@@ -96,10 +97,10 @@
 
 void BodyIntake::rejectAll(Transfers& rejected, wire::NotRunReason reason) {
   for (const auto& transfer : rejected) credit_.close(transfer.flow);
-  for (const auto& transfer : rejected) listener_.refuse(transfer.asker, *transfer.request, reason);
+  for (const auto& transfer : rejected) listener_.refuse(transfer.requester, *transfer.request, reason);
 }
 
-void BodyIntake::refuseUnbegun(wire::NotRunReason reason, TimePoint now) {
+void BodyIntake::refuseUnstarted(wire::NotRunReason reason, TimePoint now) {
   Transfers rejected;
   for (auto transfer = transfers_.begin(); transfer != transfers_.end();) {
     const auto next = std::next(transfer);
--- a/src/sidecar/body_intake.h
+++ b/src/sidecar/body_intake.h
@@ -13,30 +13,31 @@
 namespace cometstand::sidecar {
 
 /// Receives large request bodies for the local target by credit: a sender announces a body and sends only as
-/// many bytes as it was granted. A body that could not be received in time is rejected before any of it is
-/// sent.
+/// many bytes as it was granted. A request whose body could not be received in time is refused before any of
+/// the body is sent.
 class BodyIntake {
  public:
   struct Listener {
     /// Sends a grant to the requester.
-    std::function<void(const GateAsker&, std::uint32_t bytes)> grant;
+    std::function<void(const GateRequester&, std::uint32_t bytes)> grant;
     /// Called when the body, which the request contains, is complete.
-    std::function<void(const GateAsker&, std::shared_ptr<wire::ForwardRequestT>)> whole;
-    /// Called when the request is rejected. No part of it was forwarded to the target.
-    std::function<void(const GateAsker&, const wire::ForwardRequestT&, wire::NotRunReason)> refuse;
+    std::function<void(const GateRequester&, std::shared_ptr<wire::ForwardRequestT>)> whole;
+    /// Called when the request is refused. No part of it was forwarded to the target.
+    std::function<void(const GateRequester&, const wire::ForwardRequestT&, wire::NotRunReason)> refuse;
   };
 
   /// @param credit must outlive the object.
   BodyIntake(ReceiveCredit& credit, Listener listener) : credit_(credit), listener_(std::move(listener)) {}
 
-  /// Accepts an announced request, or rejects it at once if its body could not start within the maximum queue
+  /// Accepts an announced request, or refuses it at once if its body could not start within the maximum queue
   /// time of the request (`patience_ms`).
-  void announce(const GateAsker& asker, std::shared_ptr<wire::ForwardRequestT> request, TimePoint now);
-  void onPart(const GateAsker& asker, const std::vector<std::uint8_t>& bytes, TimePoint now);
-  void cancel(const GateAsker& asker, TimePoint now);
+  void announce(const GateRequester& requester, std::shared_ptr<wire::ForwardRequestT> request,
+                TimePoint now);
+  void onPart(const GateRequester& requester, const std::vector<std::uint8_t>& bytes, TimePoint now);
+  void cancel(const GateRequester& requester, TimePoint now);
   void cancelLink(runtime::LinkId link, TimePoint now);
-  /// Rejects all requests whose sender has no grant yet, for example when the target starts to leave.
-  void refuseUnbegun(wire::NotRunReason reason, TimePoint now);
+  /// Refuses all requests whose sender has no grant yet, for example when the target starts to leave.
+  void refuseUnstarted(wire::NotRunReason reason, TimePoint now);
 
   void onTimer(TimePoint now);
   TimePoint nextTimer() const;
@@ -47,12 +48,12 @@
 
  private:
   struct Transfer {
-    GateAsker asker;
+    GateRequester requester;
     std::shared_ptr<wire::ForwardRequestT> request;
     std::size_t expected_bytes = 0;
     ReceiveCredit::Flow flow;
     TimePoint announced_at;
-    /// The request is rejected if it has no grant by this time.
+    /// The request is refused if it has no grant by this time.
     TimePoint start_by;
     TimePoint deadline;
 
@@ -61,9 +62,9 @@
   using Transfers = std::list<Transfer>;
 
   static std::uint32_t remainingQueueTime(const Transfer& transfer, TimePoint now);
-  Transfers::iterator find(const GateAsker& asker);
+  Transfers::iterator find(const GateRequester& requester);
   bool hasStarted(const Transfer& transfer) const { return credit_.granted(transfer.flow) > 0; }
-  /// Closes the flows of the transfers and rejects their requests.
+  /// Closes the flows of the transfers and refuses their requests.
   void rejectAll(Transfers& rejected, wire::NotRunReason reason);
   std::size_t unreceivedBytes() const;
 
--- a/src/sidecar/caller_port.h
+++ b/src/sidecar/caller_port.h
@@ -24,7 +24,7 @@
   /// Digest of the API key that the caller sent, if any.
   std::optional<mesh::ContentDigest> key;
   /// A large answer may be streamed to the caller before it is complete.
-  bool takes_parts = false;
+  bool accepts_streaming = false;
 };
 
 enum class CallOutcome : std::uint8_t {
@@ -61,8 +61,8 @@
   virtual ~CallerPort() = default;
   virtual void answer(CallId id, CallAnswer answer) = 0;
 
-  // The functions below are called only for calls with `takes_parts`. The receiver must report the bytes that
-  // the caller has read to SidecarCore::onCallerRead().
+  // The functions below are called only for calls with `accepts_streaming`. The receiver must report the
+  // bytes that the caller has read to SidecarCore::onCallerRead().
   /// @param head the target's answer with the first bytes of its body.
   virtual void beginAnswer(CallId /*id*/, const wire::ForwardReplyT& /*head*/) {}
   /// @param end Broken if the answer was aborted; it must not look complete to the caller.
--- a/src/sidecar/cold_start_tracker.cpp
+++ b/src/sidecar/cold_start_tracker.cpp
@@ -3,8 +3,8 @@
 namespace cometstand::sidecar {
 namespace {
 
-/// Interval between health checks while the target is suspected. A busy target answers only when a slot is
-/// free, which takes the run time of several requests.
+/// Interval between health checks while the target is presumed cold. A busy target answers only when a slot
+/// is free, which takes the run time of several requests.
 constexpr Duration kHealthCheckInterval = std::chrono::milliseconds(500);
 /// A health check without a response within this time counts as failed.
 constexpr Duration kHealthCheckTimeout = std::chrono::seconds(2);
@@ -14,54 +14,54 @@
 
 }  // namespace
 
-void TargetWarmth::recordReported(Duration remaining, TimePoint now) {
+void ColdStartTracker::recordReported(Duration remaining, TimePoint now) {
   if (remaining <= Duration::zero()) return;
   reported_at_ = now;
   reported_until_ = now + remaining + kColdTimeMargin;
 }
 
-void TargetWarmth::onNewInstance(Duration remaining, TimePoint now) {
+void ColdStartTracker::onNewInstance(Duration remaining, TimePoint now) {
   reported_until_ = now;
-  suspected_until_ = now;
+  presumed_cold_until_ = now;
   recordReported(remaining, now);
 }
 
-void TargetWarmth::onHeartbeat(Duration remaining, TimePoint now) {
+void ColdStartTracker::onHeartbeat(Duration remaining, TimePoint now) {
   const TimePoint previous = reported_until_;
   recordReported(remaining, now);
   reported_until_ = std::max(reported_until_, previous);
 }
 
-void TargetWarmth::onAnswered(std::optional<Duration> remaining, TimePoint now) {
+void ColdStartTracker::onAnswered(std::optional<Duration> remaining, TimePoint now) {
   is_health_check_pending_ = false;
   if (!remaining) return;
   recordReported(*remaining, now);
   const TimePoint sent_at = health_check_sent_at_.value_or(now);
-  if (sent_at < suspected_at_) return;
-  suspected_until_ = now;
+  if (sent_at < presumed_cold_at_) return;
+  presumed_cold_until_ = now;
   const bool is_warm = *remaining <= Duration::zero();
   if (is_warm && sent_at >= reported_at_) reported_until_ = now;
 }
 
-bool TargetWarmth::doubt(TimePoint now) {
+bool ColdStartTracker::presumeCold(TimePoint now) {
   if (!isBounded()) return false;
-  const bool is_new = !isDoubted(now);
-  suspected_at_ = now;
-  suspected_until_ = now + start_.time;
+  const bool is_new = !isPresumedCold(now);
+  presumed_cold_at_ = now;
+  presumed_cold_until_ = now + start_.time;
   // Lets the next health check start at once unless one is pending.
   if (is_new && !is_health_check_pending_) health_check_sent_at_.reset();
   return is_new;
 }
 
-bool TargetWarmth::takeQuestion(TimePoint now) {
-  if (!isDoubted(now) || now < nextQuestion()) return false;
+bool ColdStartTracker::startHealthCheckIfDue(TimePoint now) {
+  if (!isPresumedCold(now) || now < nextHealthCheck()) return false;
   health_check_sent_at_ = now;
   is_health_check_pending_ = true;
   return true;
 }
 
-TimePoint TargetWarmth::nextQuestion() const {
-  if (!health_check_sent_at_) return suspected_at_;
+TimePoint ColdStartTracker::nextHealthCheck() const {
+  if (!health_check_sent_at_) return presumed_cold_at_;
   return *health_check_sent_at_ + (is_health_check_pending_ ? kHealthCheckTimeout : kHealthCheckInterval);
 }
 
--- a/src/sidecar/control_client.cpp
+++ b/src/sidecar/control_client.cpp
@@ -73,9 +73,9 @@
   if (const auto link = links_.linkTo(store)) actions_.send(*link, std::move(report), 0);
 }
 
-std::optional<Address> ControlClient::askForQuota(const wire::QuotaRequestT& request,
-                                                  const std::optional<Address>& preferred,
-                                                  const std::optional<Address>& unresponsive) {
+std::optional<Address> ControlClient::requestQuota(const wire::QuotaRequestT& request,
+                                                   const std::optional<Address>& preferred,
+                                                   const std::optional<Address>& unresponsive) {
   std::vector<std::optional<Address>> candidates{preferred};
   if (source_ != unresponsive) candidates.push_back(source_);
   for (const auto& [address, store] : stores_) {
@@ -126,7 +126,7 @@
     // Accepted from any store, as the latest state takes precedence irrespective of its sender.
     listener_.onEvacuations(*evacuations, now);
   } else if (const auto* acknowledged_report = message.body.AsCrashReport()) {
-    listener_.onCrashReportTaken(acknowledged_report->instance);
+    listener_.onCrashReportAcknowledged(acknowledged_report->instance);
   } else if (const auto* grant = message.body.AsQuotaGrant()) {
     listener_.onQuotaGrant(*address, *grant, now);
   }
--- a/src/sidecar/control_client.h
+++ b/src/sidecar/control_client.h
@@ -23,7 +23,7 @@
   virtual void onQuarantine(const wire::QuarantineUpdateT& update) = 0;
   virtual void onEvacuations(const wire::EvacuationUpdateT& update, TimePoint now) = 0;
   /// Called when a store has acknowledged this sidecar's crash report for the instance.
-  virtual void onCrashReportTaken(const std::string& instance) = 0;
+  virtual void onCrashReportAcknowledged(const std::string& instance) = 0;
   /// Called with the response of a store to a request for quota tokens.
   virtual void onQuotaGrant(const runtime::Address& store, const wire::QuotaGrantT& grant, TimePoint now) = 0;
 };
@@ -62,16 +62,16 @@
   /// linked.
   /// @param unresponsive a store that did not respond to an earlier request.
   /// @return the store to which the request was sent; none if no store is linked.
-  std::optional<runtime::Address> askForQuota(const wire::QuotaRequestT& request,
-                                              const std::optional<runtime::Address>& preferred,
-                                              const std::optional<runtime::Address>& unresponsive);
+  std::optional<runtime::Address> requestQuota(const wire::QuotaRequestT& request,
+                                               const std::optional<runtime::Address>& preferred,
+                                               const std::optional<runtime::Address>& unresponsive);
 
   /// Sends the message to every linked store.
   void broadcast(const runtime::MessagePointer& message);
 
   std::uint64_t revision() const { return revision_; }
   /// @return true while a store that is in contact with its leader is linked.
-  bool isCurrent() const { return source_.has_value(); }
+  bool hasCurrentSource() const { return source_.has_value(); }
 
  private:
   struct Store {
--- a/src/sidecar/distance_cost.cpp
+++ b/src/sidecar/distance_cost.cpp
@@ -18,14 +18,14 @@
 
 }  // namespace
 
-double DistanceCost::of(const Endpoint& endpoint, const EndpointWant& want, TimePoint now) const {
+double DistanceCost::of(const Endpoint& endpoint, const EndpointCriteria& criteria, TimePoint now) const {
   switch (links_.distanceOf(endpoint)) {
     case mesh::ZoneDistance::SameZone:
       return 0;
     case mesh::ZoneDistance::SameRegion:
-      return options_.zone_cost.of(want.bytes);
+      return options_.zone_cost.of(criteria.bytes);
     case mesh::ZoneDistance::OtherRegion:
-      return crossRegionCost(endpoint, want, now);
+      return crossRegionCost(endpoint, criteria, now);
   }
   return 0;
 }
@@ -33,16 +33,17 @@
 /// A round trip as long as the request's maximum wait for a slot costs as much as a full target, where the
 /// request would wait that long. The weight of the distance falls as more requests are refused; otherwise
 /// callers in a full region would be refused while those in another region are served.
-double DistanceCost::crossRegionCost(const Endpoint& endpoint, const EndpointWant& want,
+double DistanceCost::crossRegionCost(const Endpoint& endpoint, const EndpointCriteria& criteria,
                                      TimePoint now) const {
-  const double bytes = static_cast<double>(want.bytes) / options_.region_bytes_per_target;
+  const double bytes = static_cast<double>(criteria.bytes) / options_.region_bytes_per_target;
   double round_trip_cost = 0;
-  if (want.patience > Duration::zero()) {
+  if (criteria.max_wait > Duration::zero()) {
     const auto round_trip = static_cast<double>(links_.roundTrip(endpoint, now).count());
-    round_trip_cost = std::min(kMaxRoundTripCost, round_trip / static_cast<double>(want.patience.count()));
+    round_trip_cost =
+        std::min(kMaxRoundTripCost, round_trip / static_cast<double>(criteria.max_wait.count()));
   }
-  const double weight = std::max(kMinDistanceWeight, 1 - want.refused_share / kRefusedShareAtMinWeight);
-  const double bytes_cost = bytes + options_.zone_cost.of(want.bytes) - options_.zone_cost.base;
+  const double weight = std::max(kMinDistanceWeight, 1 - criteria.refusal_share / kRefusedShareAtMinWeight);
+  const double bytes_cost = bytes + options_.zone_cost.of(criteria.bytes) - options_.zone_cost.base;
   return bytes_cost + weight * (options_.zone_cost.base + round_trip_cost);
 }
 
--- a/src/sidecar/distance_cost.h
+++ b/src/sidecar/distance_cost.h
@@ -12,11 +12,11 @@
   /// @param options and links must outlive the object.
   DistanceCost(const SidecarOptions& options, const RegionLinks& links) : options_(options), links_(links) {}
 
-  double of(const Endpoint& endpoint, const EndpointWant& want, TimePoint now) const;
+  double of(const Endpoint& endpoint, const EndpointCriteria& criteria, TimePoint now) const;
 
  private:
   /// @return the cost of sending the request to another region.
-  double crossRegionCost(const Endpoint& endpoint, const EndpointWant& want, TimePoint now) const;
+  double crossRegionCost(const Endpoint& endpoint, const EndpointCriteria& criteria, TimePoint now) const;
 
   const SidecarOptions& options_;
   const RegionLinks& links_;
--- a/src/sidecar/endpoint.h
+++ b/src/sidecar/endpoint.h
@@ -45,19 +45,19 @@
   TimePoint no_reply_since;
   /// Until this time the endpoint is selected only if there is no other.
   TimePoint avoid_until;
-  /// Estimated end of the target's warm-up.
+  /// Estimated end of the target's cold start.
   TimePoint cold_until;
-  /// Requests that the target accepts during warm-up: the latest value reported by its sidecar, less the
+  /// Requests that the target accepts while it is cold: the latest value reported by its sidecar, less the
   /// requests sent since.
   unsigned cold_room = 0;
-  /// Until this time a target in warm-up without capacity gets no request.
+  /// Until this time a cold target without capacity gets no request.
   TimePoint cold_retry_at;
   /// Time at which the endpoint is removed, unless a store lists it again.
   std::optional<TimePoint> expires_at;
 };
 
 /// Properties of a request that determine which endpoint is selected for it.
-struct EndpointWant {
+struct EndpointCriteria {
   std::string service;
   /// Size of the request body plus the expected size of the response body, as far as it is known.
   std::size_t bytes = 0;
@@ -66,7 +66,7 @@
   /// The response is expected to be sent in parts.
   bool has_large_answer = false;
   /// Maximum time that the request may wait for a slot at an endpoint.
-  Duration patience{};
+  Duration max_wait{};
   /// Versions to which the request may be sent.
   VersionFilter versions{};
   /// Regions in which the request may be served; empty for all.
@@ -75,12 +75,12 @@
   bool may_repeat = true;
   /// Regions allowed by a configuration that was received after the request; empty for all. The request is
   /// served only in regions that `regions` allows as well.
-  std::vector<std::string> newer_regions{};
+  std::vector<std::string> regions_of_newer_configuration{};
   /// The request has the highest urgency of all requests for the service.
   bool is_urgent = false;
   /// Estimated probability, from 0 to 1, that the request is refused altogether: the share of this sender's
   /// recent requests for the service that were refused, or 1 once an endpoint has refused this request.
-  double refused_share = 0;
+  double refusal_share = 0;
 };
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/endpoint_cost.cpp
+++ b/src/sidecar/endpoint_cost.cpp
@@ -21,7 +21,7 @@
 constexpr double kMinSlowness = 0.3;
 constexpr double kMaxSlowness = 5;
 constexpr double kAvoidCost = 100;
-/// Cost of a target in warm-up, in units of a full target: warm targets are preferred until they are full.
+/// Cost of a cold target, in units of a full target: warm targets are preferred until they are full.
 constexpr double kColdCost = 1;
 /// Age at which a reported body wait time has half its weight. The queue at an endpoint holds a few bodies,
 /// and each takes about 100 ms on a narrow link.
@@ -43,8 +43,8 @@
 
 }  // namespace
 
-double EndpointCost::of(const Endpoint& endpoint, const EndpointWant& want, const LoadEstimate& estimate,
-                        RandomSource& random, TimePoint now) const {
+double EndpointCost::of(const Endpoint& endpoint, const EndpointCriteria& criteria,
+                        const LoadEstimate& estimate, RandomSource& random, TimePoint now) const {
   const double spread = static_cast<double>(random.uniform(0, kRandomSteps)) / kRandomSteps;
   double score = estimate.estimatedRequests(endpoint) / endpoint.slots + kMaxRandomCost * spread;
   const double mean_run_time = estimate.meanRunTime();
@@ -53,9 +53,9 @@
     score += kSlownessCost * estimate.freeSlotShare() * (slowness - 1) *
              reportWeight(endpoint, kSlownessHalfLife, now);
   }
-  score += distance_.of(endpoint, want, now);
+  score += distance_.of(endpoint, criteria, now);
   score += kFailureCost * endpoint.failure_rate * reportWeight(endpoint, kFailureHalfLife, now);
-  score += transferWaitCost(endpoint, want, now);
+  score += transferWaitCost(endpoint, criteria, now);
   score += missingReplyCost(endpoint, now);
   if (endpoint.cold_until > now) score += kColdCost;
   if (endpoint.avoid_until > now) score += kAvoidCost;
@@ -63,12 +63,13 @@
 }
 
 /// A wait as long as the request's maximum wait costs as much as a full target.
-double EndpointCost::transferWaitCost(const Endpoint& endpoint, const EndpointWant& want, TimePoint now) {
+double EndpointCost::transferWaitCost(const Endpoint& endpoint, const EndpointCriteria& criteria,
+                                      TimePoint now) {
   Duration wait{};
-  if (want.has_large_body) wait += endpoint.intake_wait;
-  if (want.has_large_answer) wait += endpoint.answer_wait;
-  if (wait == Duration::zero() || want.patience <= Duration::zero()) return 0;
-  const double share = static_cast<double>(wait.count()) / static_cast<double>(want.patience.count());
+  if (criteria.has_large_body) wait += endpoint.intake_wait;
+  if (criteria.has_large_answer) wait += endpoint.answer_wait;
+  if (wait == Duration::zero() || criteria.max_wait <= Duration::zero()) return 0;
+  const double share = static_cast<double>(wait.count()) / static_cast<double>(criteria.max_wait.count());
   return share * reportWeight(endpoint, kBodyWaitHalfLife, now);
 }
 
--- a/src/sidecar/endpoint_cost.h
+++ b/src/sidecar/endpoint_cost.h
@@ -20,7 +20,7 @@
   /// @param options and links must outlive the object.
   EndpointCost(const SidecarOptions& options, const RegionLinks& links) : distance_(options, links) {}
 
-  double of(const Endpoint& endpoint, const EndpointWant& want, const LoadEstimate& estimate,
+  double of(const Endpoint& endpoint, const EndpointCriteria& criteria, const LoadEstimate& estimate,
             RandomSource& random, TimePoint now) const;
 
   /// @return the time at which the endpoint's reply became overdue, which is when it had left its requests
@@ -32,7 +32,7 @@
 
  private:
   /// @return the cost of the time that large bodies wait for the endpoint's link.
-  static double transferWaitCost(const Endpoint& endpoint, const EndpointWant& want, TimePoint now);
+  static double transferWaitCost(const Endpoint& endpoint, const EndpointCriteria& criteria, TimePoint now);
   /// @return the cost of missing replies of an endpoint that has requests in flight.
   double missingReplyCost(const Endpoint& endpoint, TimePoint now) const;
 
--- a/src/sidecar/endpoint_directory.cpp
+++ b/src/sidecar/endpoint_directory.cpp
@@ -8,7 +8,7 @@
 /// Time for which endpoints are kept that are missing in a store's full snapshot. The store may have started
 /// just before and not know all endpoints yet.
 constexpr Duration kUnconfirmedRetention = std::chrono::seconds(3);
-/// Minimum time before another request is sent to a target in warm-up that reported no capacity. It is about
+/// Minimum time before another request is sent to a cold target that reported no capacity. It is about
 /// the time in which a target with a capacity of ten requests per second can accept one more.
 constexpr Duration kMinColdRetryDelay = std::chrono::milliseconds(100);
 constexpr double kPermille = 1000;
@@ -58,7 +58,7 @@
   const auto senders = std::count_if(endpoints_.begin(), endpoints_.end(), [&](const auto& item) {
     return options_.zones.regionOf(item.second.zone) == own;
   });
-  region_links_.setSenders(static_cast<std::size_t>(senders));
+  region_links_.setSenderCount(static_cast<std::size_t>(senders));
 }
 
 void EndpointDirectory::setService(Endpoint& endpoint, const std::string& service) {
@@ -106,9 +106,9 @@
   if (endpoint.cold_room > 0) --endpoint.cold_room;
 }
 
-Endpoint* EndpointDirectory::choose(const EndpointWant& want, const std::set<runtime::Address>& tried,
+Endpoint* EndpointDirectory::choose(const EndpointCriteria& criteria, const std::set<runtime::Address>& tried,
                                     RandomSource& random, TimePoint now) {
-  const auto listed = linked_.find(want.service);
+  const auto listed = linked_.find(criteria.service);
   if (listed == linked_.end()) return nullptr;
   std::vector<Endpoint*> candidates;
   candidates.reserve(listed->second.size());
@@ -118,30 +118,31 @@
   for (auto* endpoint : listed->second) {
     if (!EndpointFilter::isReachable(*endpoint)) continue;
     estimate.add(*endpoint);
-    const bool is_candidate = !tried.contains(endpoint->address) && filter_.admits(*endpoint, want, now);
+    const bool is_candidate = !tried.contains(endpoint->address) && filter_.admits(*endpoint, criteria, now);
     if (!is_candidate) continue;
-    if (region_links_.admits(*endpoint, want, now)) {
+    if (region_links_.admits(*endpoint, criteria, now)) {
       candidates.push_back(endpoint);
     } else {
       is_over_link_share = true;
     }
   }
-  if (is_over_link_share) region_links_.noteHeldBack();
-  if (want.versions.pool == VersionFilter::Pool::Canary)
-    limitToCanaryShare(candidates, want.versions.canary_permille);
-  auto* best = findLowestCost(candidates, want, estimate, random, now);
+  if (is_over_link_share) region_links_.noteThrottled();
+  if (criteria.versions.pool == VersionFilter::Pool::Canary)
+    limitToCanaryShare(candidates, criteria.versions.canary_permille);
+  auto* best = findLowestCost(candidates, criteria, estimate, random, now);
   if (best == nullptr || !zone_health_.isUnresponsive(best->zone)) return best;
   std::erase_if(candidates,
                 [this](const auto* endpoint) { return zone_health_.isUnresponsive(endpoint->zone); });
-  if (maySendToUnresponsiveZone(*best, want, candidates.empty(), now)) return best;
-  return findLowestCost(candidates, want, estimate, random, now);
+  if (maySendToUnresponsiveZone(*best, criteria, candidates.empty(), now)) return best;
+  return findLowestCost(candidates, criteria, estimate, random, now);
 }
 
-bool EndpointDirectory::maySendToUnresponsiveZone(const Endpoint& endpoint, const EndpointWant& want,
+bool EndpointDirectory::maySendToUnresponsiveZone(const Endpoint& endpoint, const EndpointCriteria& criteria,
                                                   bool is_only_choice, TimePoint now) {
-  const bool is_probe = zone_health_.isProbeDue(endpoint.zone, now) && (want.may_repeat || is_only_choice);
+  const bool is_probe =
+      zone_health_.isProbeDue(endpoint.zone, now) && (criteria.may_repeat || is_only_choice);
   if (is_probe) zone_health_.noteProbe(endpoint.zone, now);
-  return is_probe || (want.may_repeat && is_only_choice);
+  return is_probe || (criteria.may_repeat && is_only_choice);
 }
 
 void EndpointDirectory::noteOverdueEndpoints(const std::vector<Endpoint*>& endpoints, TimePoint now) {
@@ -158,7 +159,7 @@
   zone_health_.noteContact(endpoint->zone, now);
 }
 
-void EndpointDirectory::noteUnlinked(const runtime::Address& address, TimePoint now) {
+void EndpointDirectory::noteLinkFailed(const runtime::Address& address, TimePoint now) {
   auto* endpoint = find(address);
   if (endpoint == nullptr) return;
   const bool is_failure = endpoint->linked && endpoint->live;
@@ -166,21 +167,21 @@
   if (is_failure) zone_health_.noteFailure(endpoint->zone, address.host, now);
 }
 
-void EndpointDirectory::noteOwn(const runtime::Address& address) {
+void EndpointDirectory::noteLocalEndpoint(const runtime::Address& address) {
   if (auto* endpoint = find(address)) setLinked(*endpoint, true);
 }
 
-void EndpointDirectory::noteReleased(const runtime::Address& address) {
+void EndpointDirectory::noteLinkClosed(const runtime::Address& address) {
   if (auto* endpoint = find(address)) setLinked(*endpoint, false);
 }
 
 Endpoint* EndpointDirectory::findLowestCost(const std::vector<Endpoint*>& candidates,
-                                            const EndpointWant& want, const LoadEstimate& estimate,
+                                            const EndpointCriteria& criteria, const LoadEstimate& estimate,
                                             RandomSource& random, TimePoint now) const {
   Endpoint* best = nullptr;
   double best_score = 0;
   for (auto* endpoint : candidates) {
-    const double score = cost_.of(*endpoint, want, estimate, random, now);
+    const double score = cost_.of(*endpoint, criteria, estimate, random, now);
     if (best != nullptr && score >= best_score) continue;
     best = endpoint;
     best_score = score;
@@ -196,12 +197,12 @@
   candidates.resize(wanted);
 }
 
-Duration EndpointDirectory::coldTime(const EndpointWant& want, TimePoint now) const {
-  const auto listed = linked_.find(want.service);
+Duration EndpointDirectory::coldTime(const EndpointCriteria& criteria, TimePoint now) const {
+  const auto listed = linked_.find(criteria.service);
   if (listed == linked_.end()) return Duration::zero();
   Duration least = Duration::max();
   for (const auto* endpoint : listed->second) {
-    if (!filter_.isEligible(*endpoint, want)) continue;
+    if (!filter_.isEligible(*endpoint, criteria)) continue;
     least = std::min(least, std::max(Duration::zero(), endpoint->cold_until - now));
   }
   return least == Duration::max() ? Duration::zero() : least;
--- a/src/sidecar/endpoint_directory.h
+++ b/src/sidecar/endpoint_directory.h
@@ -42,23 +42,23 @@
   /// receive requests although its responses are lost.
   /// @param tried endpoints that are not selected.
   /// @return the endpoint to send the request to; nullptr if there is none.
-  Endpoint* choose(const EndpointWant& want, const std::set<runtime::Address>& tried, RandomSource& random,
-                   TimePoint now);
+  Endpoint* choose(const EndpointCriteria& criteria, const std::set<runtime::Address>& tried,
+                   RandomSource& random, TimePoint now);
 
   /// @return time until the first endpoint that is eligible for the request is warm; zero if one is warm or
   /// none is eligible.
-  Duration coldTime(const EndpointWant& want, TimePoint now) const;
+  Duration coldTime(const EndpointCriteria& criteria, TimePoint now) const;
   /// Records that the link to the address was opened.
   void noteLinked(const runtime::Address& address, TimePoint now);
   /// Records that the link to the address ended or could not be opened.
-  void noteUnlinked(const runtime::Address& address, TimePoint now);
+  void noteLinkFailed(const runtime::Address& address, TimePoint now);
   /// Marks the local endpoint as reachable, since it needs no link.
-  void noteOwn(const runtime::Address& address);
+  void noteLocalEndpoint(const runtime::Address& address);
   /// Records that this sidecar closed its link to the address. This does not affect the health of the zone.
-  void noteReleased(const runtime::Address& address);
+  void noteLinkClosed(const runtime::Address& address);
   /// @return true if the request may be served in the endpoint's region.
-  bool isAllowedRegion(const Endpoint& endpoint, const EndpointWant& want) const {
-    return filter_.isAllowedRegion(endpoint, want);
+  bool isAllowedRegion(const Endpoint& endpoint, const EndpointCriteria& criteria) const {
+    return filter_.isAllowedRegion(endpoint, criteria);
   }
 
   /// @return true if a live endpoint of the service is known, reachable or not.
@@ -83,13 +83,13 @@
   /// Records the endpoints with overdue replies in zone_health_.
   void noteOverdueEndpoints(const std::vector<Endpoint*>& endpoints, TimePoint now);
   /// @return the candidate with the lowest cost; nullptr if there are no candidates.
-  Endpoint* findLowestCost(const std::vector<Endpoint*>& candidates, const EndpointWant& want,
+  Endpoint* findLowestCost(const std::vector<Endpoint*>& candidates, const EndpointCriteria& criteria,
                            const LoadEstimate& estimate, RandomSource& random, TimePoint now) const;
   /// Records a probe if the request is one.
   /// @param endpoint the candidate with the lowest cost, in an unresponsive zone.
   /// @return true if the request is sent to the endpoint nevertheless.
-  bool maySendToUnresponsiveZone(const Endpoint& endpoint, const EndpointWant& want, bool is_only_choice,
-                                 TimePoint now);
+  bool maySendToUnresponsiveZone(const Endpoint& endpoint, const EndpointCriteria& criteria,
+                                 bool is_only_choice, TimePoint now);
   static void resetTargetState(Endpoint& endpoint);
   void setService(Endpoint& endpoint, const std::string& service);
   void removeFromLists(Endpoint& endpoint);
--- a/src/sidecar/endpoint_filter.cpp
+++ b/src/sidecar/endpoint_filter.cpp
@@ -2,23 +2,24 @@
 
 namespace cometstand::sidecar {
 
-bool EndpointFilter::admits(const Endpoint& endpoint, const EndpointWant& want, TimePoint now) const {
-  return isEligible(endpoint, want) && hasWarmUpCapacity(endpoint, now);
+bool EndpointFilter::admits(const Endpoint& endpoint, const EndpointCriteria& criteria, TimePoint now) const {
+  return isEligible(endpoint, criteria) && hasColdCapacity(endpoint, now);
 }
 
-bool EndpointFilter::isEligible(const Endpoint& endpoint, const EndpointWant& want) const {
+bool EndpointFilter::isEligible(const Endpoint& endpoint, const EndpointCriteria& criteria) const {
   if (!isReachable(endpoint)) return false;
-  if (!want.versions.admits(endpoint.version)) return false;
-  if (!isAllowedRegion(endpoint, want)) return false;
+  if (!criteria.versions.admits(endpoint.version)) return false;
+  if (!isAllowedRegion(endpoint, criteria)) return false;
   return !evacuations_.isEvacuated(endpoint.zone);
 }
 
-bool EndpointFilter::isAllowedRegion(const Endpoint& endpoint, const EndpointWant& want) const {
+bool EndpointFilter::isAllowedRegion(const Endpoint& endpoint, const EndpointCriteria& criteria) const {
   const auto& region = zones_.regionOf(endpoint.zone);
-  return mesh::isAllowedRegion(want.regions, region) && mesh::isAllowedRegion(want.newer_regions, region);
+  return mesh::isAllowedRegion(criteria.regions, region) &&
+         mesh::isAllowedRegion(criteria.regions_of_newer_configuration, region);
 }
 
-bool EndpointFilter::hasWarmUpCapacity(const Endpoint& endpoint, TimePoint now) {
+bool EndpointFilter::hasColdCapacity(const Endpoint& endpoint, TimePoint now) {
   return now >= endpoint.cold_until || endpoint.cold_room > 0 || now >= endpoint.cold_retry_at;
 }
 
--- a/src/sidecar/endpoint_filter.h
+++ b/src/sidecar/endpoint_filter.h
@@ -17,15 +17,15 @@
   /// @return true if the endpoint is up and linked.
   static bool isReachable(const Endpoint& endpoint) { return endpoint.live && endpoint.linked; }
   /// @return true if the endpoint may get the request as soon as it has capacity for one more.
-  bool isEligible(const Endpoint& endpoint, const EndpointWant& want) const;
+  bool isEligible(const Endpoint& endpoint, const EndpointCriteria& criteria) const;
   /// @return true if the endpoint may get the request now.
-  bool admits(const Endpoint& endpoint, const EndpointWant& want, TimePoint now) const;
+  bool admits(const Endpoint& endpoint, const EndpointCriteria& criteria, TimePoint now) const;
   /// @return true if the request may be served in the endpoint's region.
-  bool isAllowedRegion(const Endpoint& endpoint, const EndpointWant& want) const;
+  bool isAllowedRegion(const Endpoint& endpoint, const EndpointCriteria& criteria) const;
 
  private:
-  /// @return true if the endpoint is warm, or has capacity for another request during warm-up.
-  static bool hasWarmUpCapacity(const Endpoint& endpoint, TimePoint now);
+  /// @return true if the endpoint is warm, or is cold and has capacity for another request.
+  static bool hasColdCapacity(const Endpoint& endpoint, TimePoint now);
 
   const mesh::ZoneMap& zones_;
   const ZoneEvacuations& evacuations_;
--- a/src/sidecar/endpoint_subset.cpp
+++ b/src/sidecar/endpoint_subset.cpp
@@ -34,7 +34,7 @@
   changed_groups_.insert(group);
 }
 
-void EndpointSubset::setWhole(std::set<std::string> services) {
+void EndpointSubset::setUnrestrictedServices(std::set<std::string> services) {
   if (services == unrestricted_services_) return;
   for (const auto& [group, zones] : groups_) {
     if (services.contains(group.first) != unrestricted_services_.contains(group.first))
--- a/src/sidecar/endpoint_subset.h
+++ b/src/sidecar/endpoint_subset.h
@@ -49,7 +49,7 @@
   void remove(const Address& address);
   /// Sets the services of which all endpoints are in the subset. All senders must consider the same endpoints
   /// when they select the targets that get the share of a new version.
-  void setWhole(std::set<std::string> services);
+  void setUnrestrictedServices(std::set<std::string> services);
 
   bool contains(const Address& address) const { return selected_.contains(address); }
   std::size_t size() const { return selected_.size(); }
--- a/src/sidecar/events.h
+++ b/src/sidecar/events.h
@@ -51,7 +51,7 @@
     7013, LogLevel::Info, "run_ended",
     "A request that the gate sent to the target ended there. The outcome field contains the result."};
 
-inline constexpr EventDefinition kRunGivenUp{
+inline constexpr EventDefinition kRunCancelled{
     7014, LogLevel::Info, "run_given_up",
     "A request was cancelled while it ran at the target: its deadline passed, its caller disconnected, or "
     "the link was closed. A high took_ms means that the target was slow."};
@@ -74,11 +74,11 @@
     "crashed several targets. Search content_quarantined on the stores for the content or the path: see "
     "docs/OPERATIONS.md."};
 
-inline constexpr EventDefinition kTargetDoubted{
+inline constexpr EventDefinition kTargetPresumedCold{
     7018, LogLevel::Info, "target_doubted",
     "The target beside this sidecar may have restarted unnoticed and be cold. A health check is sent, and "
     "the rate limit for cold targets applies until the target has answered. No action is needed."};
-inline constexpr EventDefinition kTargetAsked{
+inline constexpr EventDefinition kTargetHealthReceived{
     7019, LogLevel::Info, "target_asked",
     "The target beside this sidecar answered a health check; cold_ms is the time until it is considered "
     "warm. If says_cold is false, the target reported no cold time, and the full duration of a cold start "
@@ -95,14 +95,14 @@
     "or one that belongs to no tenant in this revision. If a tenant owns the key, compare the revision with "
     "the newest one."};
 
-inline constexpr EventDefinition kZoneDark{
+inline constexpr EventDefinition kZoneUnresponsive{
     7031, LogLevel::Warning, "zone_dark",
     "Several machines of a zone stopped answering this sidecar, and no machine of the zone has answered "
     "since. The endpoints of the zone are avoided, except for occasional requests that check whether one "
     "answers again. If many sidecars log this event for one zone, the zone is disconnected or without "
     "power."};
 
-inline constexpr EventDefinition kZoneHeard{
+inline constexpr EventDefinition kZoneResponsive{
     7032, LogLevel::Info, "zone_heard",
     "A zone that had stopped answering this sidecar answered again. No action is needed."};
 
@@ -112,7 +112,7 @@
     "congestion ends. If the event repeats on many sidecars, the link between the regions is too narrow for "
     "the traffic."};
 
-inline constexpr EventDefinition kUnreadableWord{
+inline constexpr EventDefinition kUnreadableMessage{
     7034, LogLevel::Warning, "unreadable_word",
     "A heartbeat or a deregistration could not be parsed and was ignored. If the event repeats, check for "
     "other senders to this sidecar's control address, or for a target of another release."};
@@ -123,11 +123,11 @@
     "reason is time_limit, the remaining requests are cancelled: see docs/OPERATIONS.md."};
 
 inline constexpr std::array kSidecarEvents{
-    kStoreLinked,   kStoreLost,       kSourceChosen,      kSourceLost,       kConfigurationInForce,
-    kTargetChanged, kCallEnded,       kCallRetried,       kGateRefused,      kSidecarStopBegan,
-    kUpdateRefused, kCallAnswered,    kRunEnded,          kRunGivenUp,       kBodyRefused,
-    kTargetEnded,   kCallQuarantined, kTargetDoubted,     kTargetAsked,      kEvacuationsChanged,
-    kZoneDark,      kZoneHeard,       kRegionLinkReduced, kSidecarStopEnded, kUnreadableWord,
+    kStoreLinked,      kStoreLost,       kSourceChosen,       kSourceLost,           kConfigurationInForce,
+    kTargetChanged,    kCallEnded,       kCallRetried,        kGateRefused,          kSidecarStopBegan,
+    kUpdateRefused,    kCallAnswered,    kRunEnded,           kRunCancelled,         kBodyRefused,
+    kTargetEnded,      kCallQuarantined, kTargetPresumedCold, kTargetHealthReceived, kEvacuationsChanged,
+    kZoneUnresponsive, kZoneResponsive,  kRegionLinkReduced,  kSidecarStopEnded,     kUnreadableMessage,
     kCallKeyUnknown};
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/gate_requester.h
+++ b/src/sidecar/gate_requester.h
@@ -15,21 +15,21 @@
   /// in one message.
   std::uint32_t credit = 0;
   /// After this time the answer is of no use.
-  TimePoint wanted_until = TimePoint::max();
+  TimePoint useful_until = TimePoint::max();
 };
 
 /// The sender of a request at the gate: a link to another sidecar, or this sidecar itself.
-struct GateAsker {
+struct GateRequester {
   /// Default: this sidecar itself, for its local callers.
   runtime::LinkId link{};
   std::uint64_t request_id = 0;
   /// Not compared: it does not identify the sender.
   ReplyOptions answer = {};
 
-  friend bool operator==(const GateAsker& a, const GateAsker& b) {
+  friend bool operator==(const GateRequester& a, const GateRequester& b) {
     return a.link == b.link && a.request_id == b.request_id;
   }
-  friend auto operator<=>(const GateAsker& a, const GateAsker& b) {
+  friend auto operator<=>(const GateRequester& a, const GateRequester& b) {
     return std::tie(a.link, a.request_id) <=>
            std::tie(b.link, b.request_id);  // NOLINT(modernize-use-nullptr)
   }
--- a/src/sidecar/link_share.cpp
+++ b/src/sidecar/link_share.cpp
@@ -9,10 +9,10 @@
 /// Bucket size as seconds at the sender's rate. The full buckets of all senders together hold this many
 /// seconds of the link's capacity.
 constexpr double kBucketSeconds = 0.25;
-/// Parts of the bucket that transfers of TransferClass::Second and TransferClass::Last must leave for the
-/// classes before them.
-constexpr double kReservedFromSecondClass = 0.25;
-constexpr double kReservedFromLastClass = 0.5;
+/// Parts of the bucket that transfers of TransferPriority::Normal and TransferPriority::Low must leave for
+/// the higher priorities.
+constexpr double kReservedFromNormalPriority = 0.25;
+constexpr double kReservedFromLowPriority = 0.5;
 /// Minimum time between two adaptations of the rate. It covers several round trips between regions, so that
 /// the effect of a change is visible.
 constexpr Duration kAdaptInterval = std::chrono::milliseconds(500);
@@ -25,16 +25,16 @@
 /// Minimum rate in bytes per second. Without any requests, the link's round-trip time would not be known.
 constexpr double kMinBytesPerSecond = 4'000;
 
-double reservedFrom(TransferClass kind) {
+double reservedFrom(TransferPriority kind) {
   switch (kind) {
-    case TransferClass::First:
+    case TransferPriority::High:
       return 0;
-    case TransferClass::Second:
-      return kReservedFromSecondClass;
-    case TransferClass::Last:
-      return kReservedFromLastClass;
+    case TransferPriority::Normal:
+      return kReservedFromNormalPriority;
+    case TransferPriority::Low:
+      return kReservedFromLowPriority;
   }
-  return kReservedFromLastClass;
+  return kReservedFromLowPriority;
 }
 
 double secondsOf(Duration time) { return std::chrono::duration<double>(time).count(); }
@@ -56,7 +56,7 @@
   refilled_at_ = now;
 }
 
-bool LinkShare::admits(std::size_t bytes, TransferClass kind, TimePoint now) {
+bool LinkShare::admits(std::size_t bytes, TransferPriority kind, TimePoint now) {
   refill(now);
   if (!refilled_at_) return true;
   const double wanted = static_cast<double>(bytes) + reservedFrom(kind) * bucketBytes();
--- a/src/sidecar/link_share.h
+++ b/src/sidecar/link_share.h
@@ -10,13 +10,13 @@
 namespace cometstand::sidecar {
 
 /// Priority of a request when the tokens of a link share run low.
-enum class TransferClass : std::uint8_t {
+enum class TransferPriority : std::uint8_t {
   /// Urgent and small requests, which may use all tokens.
-  First,
+  High,
   /// Requests that are either urgent or small.
-  Second,
+  Normal,
   /// Requests that are neither urgent nor small.
-  Last
+  Low
 };
 
 /// One sender's share of a link that many senders use. It is a token bucket of bytes whose rate never exceeds
@@ -31,7 +31,7 @@
 
   /// @return true if a transfer of that size may begin now. A transfer larger than the bucket requires a full
   /// bucket, and its excess leaves a negative token balance.
-  bool admits(std::size_t bytes, TransferClass kind, TimePoint now);
+  bool admits(std::size_t bytes, TransferPriority kind, TimePoint now);
   /// Takes the tokens for a transfer of that size.
   void take(std::size_t bytes, TimePoint now);
   /// Corrects the tokens taken for a transfer by the difference to its actual size.
--- a/src/sidecar/metrics.h
+++ b/src/sidecar/metrics.h
@@ -37,8 +37,8 @@
   /// Queueing time of requests that were run.
   LatencyHistogram waiting_time;
 
-  void noteRefusal(wire::NotRunReason reason) { ++refusals.at(static_cast<std::size_t>(reason)); }
-  void noteRun(wire::ForwardOutcome outcome, Duration time) {
+  void recordRefusal(wire::NotRunReason reason) { ++refusals.at(static_cast<std::size_t>(reason)); }
+  void recordRun(wire::ForwardOutcome outcome, Duration time) {
     run_time.at(static_cast<std::size_t>(outcome)).note(time);
   }
 };
--- a/src/sidecar/outbound_answers.cpp
+++ b/src/sidecar/outbound_answers.cpp
@@ -24,15 +24,15 @@
   if (call.endpoint != from) return;
   const auto progress = answers_.onPart(request_id, part, now);
   switch (progress) {
-    case AnswerIntake::Progress::Unknown:
+    case ResponseIntake::Progress::Unknown:
       return;
-    case AnswerIntake::Progress::Open:
+    case ResponseIntake::Progress::Open:
       streamAnswer(id, call);
       return;
-    case AnswerIntake::Progress::Whole:
+    case ResponseIntake::Progress::Whole:
       finishAttempt(id, answers_.take(request_id), now);
       return;
-    case AnswerIntake::Progress::Broken:
+    case ResponseIntake::Progress::Broken:
       onAnswerAborted(id, call,
                       part.end == wire::BodyEnd::Broken ? AttemptFailure::ReportedByEndpoint
                                                         : AttemptFailure::ProtocolViolation,
@@ -43,10 +43,10 @@
 
 /// At the usual grant rate, 5 of 75 sidecars on saturated links, stopped in turn, reached the time limit of
 /// the stop with 1 to 4 answers that were still being granted.
-void OutboundCalls::onEndpointLeaves(const Address& address, TimePoint now) {
+void OutboundCalls::onEndpointDraining(const Address& address, TimePoint now) {
   for (const auto& [id, call] : calls_) {
     if (call.endpoint == address)
-      answers_.expedite(call.attempt_number, now + parts_.options.stopMaximum(), now);
+      answers_.expedite(call.attempt_number, now + parts_.options.requestCancelTime(), now);
   }
 }
 
@@ -58,11 +58,11 @@
 
 void OutboundCalls::streamAnswer(CallId id, CallState& call) {
   if (call.is_streamed) {
-    const auto bytes = answers_.takePart(call.attempt_number);
+    const auto bytes = answers_.takeReceivedBytes(call.attempt_number);
     call.streamed_bytes += bytes.size();
     parts_.callers.continueAnswer(id, bytes, wire::BodyEnd::Open);
-  } else if (call.takes_parts && answers_.isDue(call.attempt_number)) {
-    const auto head = answers_.pass(call.attempt_number);
+  } else if (call.accepts_streaming && answers_.shouldStream(call.attempt_number)) {
+    const auto head = answers_.beginStreaming(call.attempt_number);
     call.is_streamed = true;
     call.streamed_bytes = head.body.size();
     parts_.callers.beginAnswer(id, head);
--- a/src/sidecar/outbound_calls.cpp
+++ b/src/sidecar/outbound_calls.cpp
@@ -11,7 +11,7 @@
 
 /// A request with less time left until its deadline is not sent.
 constexpr Duration kMinTimeLeft = std::chrono::milliseconds(10);
-/// How long an endpoint is avoided after it refused a request because it was full or warming up: about the
+/// How long an endpoint is avoided after it refused a request because it was full or cold: about the
 /// time until one of its slots is free.
 constexpr Duration kFullAvoidance = std::chrono::milliseconds(30);
 /// How long an endpoint is avoided after it refused a request because its target is down or draining: about
@@ -51,7 +51,7 @@
   state.request->objective_ms = route->objective_ms;
   const Duration timeout = std::chrono::milliseconds(route->timeout_ms);
   state.started_at = now;
-  state.takes_parts = call.takes_parts;
+  state.accepts_streaming = call.accepts_streaming;
   state.caller_deadline = now + call.deadline.value_or(timeout);
   state.deadline = std::min(state.caller_deadline, now + timeout);
   if (outlastsStop(route, state.deadline, now)) {
@@ -76,49 +76,49 @@
   stop_began_ = now;
   // At the usual grant rate an answer of 90 KB took 1.2 s (median) to 6 s (95th percentile) on a saturated
   // link when 75 sidecars were stopped in turn, which is longer than a planned stop lasts.
-  answers_.expediteAll(now + parts_.options.stopMaximum(), now);
+  answers_.expediteAll(now + parts_.options.requestCancelTime(), now);
 }
 
 bool OutboundCalls::outlastsStop(const mesh::RoutePointer& route, TimePoint deadline, TimePoint now) const {
   if (!stop_began_) return false;
-  const TimePoint end = *stop_began_ + parts_.options.stopMaximum();
+  const TimePoint end = *stop_began_ + parts_.options.requestCancelTime();
   if (deadline <= end) return false;
   const bool takes_all = now < *stop_began_ + parts_.options.stop_accept_all;
-  return !takes_all || now + forecast_.timeUntilWhole(route->name, parts_.credit.rate()) > end;
+  return !takes_all || now + forecast_.timeToCompletion(route->name, parts_.credit.rate()) > end;
 }
 
-EndpointWant OutboundCalls::requirementsOf(const CallState& call) const {
-  EndpointWant want;
-  want.service = call.request->service;
-  want.bytes = call.request->body.size() + forecast_.answerBytes(call.route->name);
-  want.has_large_body = call.request->body.size() > kMaxInlineBodyBytes;
-  want.has_large_answer = parts_.options.answer_credit > 0 &&
-                          forecast_.answerBytes(call.route->name) > parts_.options.answer_credit;
-  want.patience = queueTimeLimit(call);
-  want.regions = call.route->regions;
-  want.may_repeat = call.route->repeatable;
-  want.newer_regions = newerRegionsOf(call);
-  want.is_urgent = isUrgent(call);
-  want.refused_share = call.refusals > 0 ? 1 : refusals_.of(want.service);
-  return want;
+EndpointCriteria OutboundCalls::criteriaOf(const CallState& call) const {
+  EndpointCriteria criteria;
+  criteria.service = call.request->service;
+  criteria.bytes = call.request->body.size() + forecast_.answerBytes(call.route->name);
+  criteria.has_large_body = call.request->body.size() > kMaxInlineBodyBytes;
+  criteria.has_large_answer = parts_.options.answer_credit > 0 &&
+                              forecast_.answerBytes(call.route->name) > parts_.options.answer_credit;
+  criteria.max_wait = queueTimeLimit(call);
+  criteria.regions = call.route->regions;
+  criteria.may_repeat = call.route->repeatable;
+  criteria.regions_of_newer_configuration = newerRegionsOf(call);
+  criteria.is_urgent = isUrgent(call);
+  criteria.refusal_share = call.refusals > 0 ? 1 : refusals_.of(criteria.service);
+  return criteria;
 }
 
 Endpoint* OutboundCalls::chooseFor(const CallState& call, TimePoint now) {
   if (call.deadline - now < kMinTimeLeft) return nullptr;
   const auto& service = call.request->service;
-  auto want = requirementsOf(call);
-  want.versions = parts_.rollouts.filterFor(service, call.tried_endpoints.empty(), parts_.random, now);
-  auto* endpoint = parts_.endpoints.choose(want, call.tried_endpoints, parts_.random, now);
+  auto criteria = criteriaOf(call);
+  criteria.versions = parts_.rollouts.filterFor(service, call.tried_endpoints.empty(), parts_.random, now);
+  auto* endpoint = parts_.endpoints.choose(criteria, call.tried_endpoints, parts_.random, now);
   const bool may_fall_back =
-      want.versions.pool == VersionFilter::Pool::Canary && parts_.rollouts.isCanary(service);
+      criteria.versions.pool == VersionFilter::Pool::Canary && parts_.rollouts.isCanary(service);
   if (endpoint != nullptr || !may_fall_back) return endpoint;
-  want.versions = parts_.rollouts.filterFor(service, false, parts_.random, now);
-  return parts_.endpoints.choose(want, call.tried_endpoints, parts_.random, now);
+  criteria.versions = parts_.rollouts.filterFor(service, false, parts_.random, now);
+  return parts_.endpoints.choose(criteria, call.tried_endpoints, parts_.random, now);
 }
 
 void OutboundCalls::sendNext(CallId id, TimePoint now) {
   auto& call = calls_.at(id);
-  if (parts_.quarantine.blocks(*call.request)) {
+  if (parts_.quarantine.isQuarantined(*call.request)) {
     finishQuarantined(id, now);
     return;
   }
@@ -192,7 +192,7 @@
   const std::size_t length = std::min(bytes, body.size() - call.body_sent);
   if (length == 0) return;
   const auto* endpoint = parts_.endpoints.find(from);
-  if (endpoint != nullptr && !parts_.endpoints.isAllowedRegion(*endpoint, requirementsOf(call))) {
+  if (endpoint != nullptr && !parts_.endpoints.isAllowedRegion(*endpoint, criteriaOf(call))) {
     abortUpload(sent->second, call, now);
     return;
   }
@@ -203,9 +203,9 @@
   parts_.actions.send(*link, std::move(part), request_id);
 }
 
-/// All attempts share one queue time; each gets what is left of it, but at least `least_patience`.
+/// All attempts share one queue time; each gets what is left of it, but at least `min_queue_wait`.
 Duration OutboundCalls::remainingQueueTime(const CallState& call, TimePoint now) const {
-  return std::max(queueTimeLimit(call) - (now - call.started_at), parts_.options.least_patience);
+  return std::max(queueTimeLimit(call) - (now - call.started_at), parts_.options.min_queue_wait);
 }
 
 Duration OutboundCalls::queueTimeLimit(const CallState& call) const {
@@ -224,10 +224,10 @@
   if (call.endpoint != from) return;
   if (reply.outcome == wire::ForwardOutcome::Answered && reply.body_follows) {
     if (answers_.contains(request_id)) return;
-    forecast_.noteBeginning(call.route->name, now - call.sent_at);
+    forecast_.recordTimeToFirstByte(call.route->name, now - call.sent_at);
     answers_.begin(request_id, reply, call.request->priority, crossRegionRoundTrip(endpoint, now), now);
     if (endpoint != nullptr && !endpoint->live)
-      answers_.expedite(request_id, now + parts_.options.stopMaximum(), now);
+      answers_.expedite(request_id, now + parts_.options.requestCancelTime(), now);
     return;
   }
   if (answers_.contains(request_id)) {
@@ -236,7 +236,7 @@
     return;
   }
   if (reply.outcome == wire::ForwardOutcome::Answered)
-    forecast_.noteBeginning(call.route->name, now - call.sent_at);
+    forecast_.recordTimeToFirstByte(call.route->name, now - call.sent_at);
   finishAttempt(id, reply, now);
 }
 
@@ -249,8 +249,8 @@
   if (endpoint != nullptr) noteTransfer(call, *endpoint, reply, now);
   switch (reply.outcome) {
     case wire::ForwardOutcome::Answered:
-      forecast_.noteSize(call.route->name, call.streamed_bytes + reply.body.size());
-      forecast_.noteWhole(call.route->name, now - call.sent_at);
+      forecast_.recordSize(call.route->name, call.streamed_bytes + reply.body.size());
+      forecast_.recordTimeToCompletion(call.route->name, now - call.sent_at);
       parts_.endpoints.noteAnswered(call.request->service, now - call.sent_at);
       finish(id, {CallOutcome::Answered, reply, Duration::zero()}, now);
       return;
--- a/src/sidecar/outbound_calls.h
+++ b/src/sidecar/outbound_calls.h
@@ -59,7 +59,7 @@
   /// Starts a planned stop: refuses new requests that could not be answered before it ends.
   void beginStop(TimePoint now);
   /// Ends a planned stop: refuses all requests that arrive from now on.
-  void endStop() { refuses_all_ = true; }
+  void refuseAllRequests() { refuses_all_ = true; }
   /// Called when the caller has read `bytes` bytes of an answer that is streamed to it.
   void onRead(CallId id, std::size_t bytes, TimePoint now);
   /// Ends a request whose caller has disconnected.
@@ -69,14 +69,14 @@
   void onReply(const runtime::Address& from, std::uint64_t request_id, const wire::ForwardReplyT& reply,
                TimePoint now);
   /// @param sidecars the number of known sidecars, which share the retry budget.
-  void setSidecars(std::size_t sidecars) { budget_.setSidecars(sidecars); }
+  void setSidecarCount(std::size_t sidecars) { budget_.setSidecarCount(sidecars); }
   /// Handles an endpoint's grant to send `bytes` more bytes of an announced request body.
   void onGrant(const runtime::Address& from, std::uint64_t request_id, std::size_t bytes, TimePoint now);
   /// Handles the next part of an answer whose body follows its head.
   void onAnswerPart(const runtime::Address& from, std::uint64_t request_id, const wire::BodyPartT& part,
                     TimePoint now);
   /// Grants the rest of all answers from a draining endpoint at full rate, because its sidecar may stop soon.
-  void onEndpointLeaves(const runtime::Address& address, TimePoint now);
+  void onEndpointDraining(const runtime::Address& address, TimePoint now);
   /// Handles the loss of the link to an endpoint; requests that were sent over it may have run.
   void onPeerLost(const runtime::Address& address, TimePoint now);
   /// Retries to get tokens for the requests that wait for one, after the leader has answered.
@@ -85,7 +85,7 @@
   TimePoint nextTimer() const;
   std::size_t inFlight() const { return calls_.size(); }
   /// @return the number of large answers that are being received.
-  std::size_t answersArriving() const { return answers_.size(); }
+  std::size_t largeAnswersInFlight() const { return answers_.size(); }
   const CallMetrics& metrics() const { return metrics_; }
 
  private:
@@ -133,7 +133,7 @@
     std::optional<QuotaToken> token;
     /// Until when the request waits for a token; none if it does not wait.
     std::optional<TimePoint> quota_deadline;
-    bool takes_parts = false;
+    bool accepts_streaming = false;
     /// A part of the answer was streamed to the caller, so the request must not be retried.
     bool is_streamed = false;
     std::size_t streamed_bytes = 0;
@@ -175,7 +175,7 @@
   void finishNotRun(CallId id, TimePoint now);
   /// Ends a quarantined request without another attempt, because requests like it have crashed targets.
   void finishQuarantined(CallId id, TimePoint now);
-  EndpointWant requirementsOf(const CallState& call) const;
+  EndpointCriteria criteriaOf(const CallState& call) const;
   /// @return the only regions that may serve the request by the latest configuration, if that is newer than
   /// the one the request started with; empty if all regions may.
   std::vector<std::string> newerRegionsOf(const CallState& call) const;
@@ -205,8 +205,8 @@
   /// The most urgent priority (the lowest number) seen among each service's requests.
   std::map<std::string, unsigned> most_urgent_;
   RefusalShare refusals_;
-  AnswerForecast forecast_;
-  AnswerIntake answers_;
+  ResponseEstimator forecast_;
+  ResponseIntake answers_;
   CallMetrics metrics_;
   mesh::RouteTablePointer table_;
   std::map<CallId, CallState> calls_;
--- a/src/sidecar/outbound_completion.cpp
+++ b/src/sidecar/outbound_completion.cpp
@@ -151,7 +151,7 @@
 Duration OutboundCalls::drawRetryAfter(const CallState& call, TimePoint now) {
   const auto max_wait = std::chrono::duration_cast<Duration>((call.caller_deadline - now) * kMaxWaitShare);
   // While all targets warm up, a retry would take the capacity of other requests.
-  const Duration cold = std::min(parts_.endpoints.coldTime(requirementsOf(call), now), max_wait);
+  const Duration cold = std::min(parts_.endpoints.coldTime(criteriaOf(call), now), max_wait);
   const Duration suggested = call.retry_after == Duration::zero() ? kDefaultRetryAfter : call.retry_after;
   const Duration min_retry_after = std::max(suggested, cold);
   const auto spread = std::chrono::duration_cast<Duration>(max_wait * refusals_.of(call.request->service));
--- a/src/sidecar/quarantine.cpp
+++ b/src/sidecar/quarantine.cpp
@@ -47,7 +47,7 @@
   return path != nullptr && path->state == state ? path : nullptr;
 }
 
-bool Quarantine::blocks(const wire::ForwardRequestT& request) const {
+bool Quarantine::isQuarantined(const wire::ForwardRequestT& request) const {
   return quarantined_ > 0 && findEntry(request, State::Quarantined) != nullptr;
 }
 
@@ -80,7 +80,7 @@
   entries_[digest] = {notice.state, notice.number, std::nullopt};
 }
 
-void Quarantine::onReportTaken(const std::string& instance) {
+void Quarantine::onReportAcknowledged(const std::string& instance) {
   std::erase_if(pending_reports_, [&instance](const auto& report) { return report.instance == instance; });
 }
 
--- a/src/sidecar/quarantine.h
+++ b/src/sidecar/quarantine.h
@@ -28,9 +28,9 @@
 
   void apply(const wire::QuarantineUpdateT& update);
   /// A store has acknowledged the report on the end of this instance.
-  void onReportTaken(const std::string& instance);
+  void onReportAcknowledged(const std::string& instance);
   /// @return true if the request is quarantined: no target may run it.
-  bool blocks(const wire::ForwardRequestT& request) const;
+  bool isQuarantined(const wire::ForwardRequestT& request) const;
   /// @return true if more than one target ended while it had the request, and none has completed it since.
   bool isSuspect(const wire::ForwardRequestT& request) const;
 
--- a/src/sidecar/region_links.cpp
+++ b/src/sidecar/region_links.cpp
@@ -22,15 +22,15 @@
 constexpr double kMinQueuedRiseShare = 0.5;
 constexpr Duration kMinQueuedRise = std::chrono::milliseconds(15);
 
-TransferClass classOf(const EndpointWant& want) {
-  const bool is_small = want.bytes <= kMaxSmallBytes;
-  if (want.is_urgent && is_small) return TransferClass::First;
-  return want.is_urgent || is_small ? TransferClass::Second : TransferClass::Last;
+TransferPriority classOf(const EndpointCriteria& criteria) {
+  const bool is_small = criteria.bytes <= kMaxSmallBytes;
+  if (criteria.is_urgent && is_small) return TransferPriority::High;
+  return criteria.is_urgent || is_small ? TransferPriority::Normal : TransferPriority::Low;
 }
 
 }  // namespace
 
-void RegionLinks::setSenders(std::size_t senders) {
+void RegionLinks::setSenderCount(std::size_t senders) {
   const double capacity = options_.region_link_bandwidth;
   if (capacity <= 0) return;
   const auto count = static_cast<double>(std::max<std::size_t>(1, senders));
@@ -44,9 +44,9 @@
   return region->second;
 }
 
-bool RegionLinks::admits(const Endpoint& endpoint, const EndpointWant& want, TimePoint now) {
+bool RegionLinks::admits(const Endpoint& endpoint, const EndpointCriteria& criteria, TimePoint now) {
   if (distanceOf(endpoint) != mesh::ZoneDistance::OtherRegion) return true;
-  return regionOf(endpoint).share.admits(want.bytes + kOverheadBytes, classOf(want), now);
+  return regionOf(endpoint).share.admits(criteria.bytes + kOverheadBytes, classOf(criteria), now);
 }
 
 void RegionLinks::onSent(const Endpoint& endpoint, std::size_t bytes, TimePoint now) {
--- a/src/sidecar/region_links.h
+++ b/src/sidecar/region_links.h
@@ -35,10 +35,10 @@
     return options_.zones.distance(options_.zone, endpoint.zone);
   }
   /// @param senders the number of senders in the own region, this one included.
-  void setSenders(std::size_t senders);
+  void setSenderCount(std::size_t senders);
 
   /// @return false if this sender's share of the link to the endpoint's region is used up for such a request.
-  bool admits(const Endpoint& endpoint, const EndpointWant& want, TimePoint now);
+  bool admits(const Endpoint& endpoint, const EndpointCriteria& criteria, TimePoint now);
   void onSent(const Endpoint& endpoint, std::size_t bytes, TimePoint now);
   void onEnded(const Endpoint& endpoint, const Transfer& transfer, TimePoint now);
 
@@ -49,8 +49,8 @@
   std::map<std::string, double> rates() const;
   /// @return the number of requests for which endpoints of another region were excluded because the link's
   /// share was used up.
-  std::uint64_t heldBack() const { return throttled_; }
-  void noteHeldBack() { ++throttled_; }
+  std::uint64_t throttledRequests() const { return throttled_; }
+  void noteThrottled() { ++throttled_; }
 
  private:
   struct Region {
--- a/src/sidecar/response_estimator.h
+++ b/src/sidecar/response_estimator.h
@@ -13,19 +13,19 @@
 
 /// Estimates the size and the latency of the responses of each route from past responses, so that both can be
 /// considered before a request is sent.
-class AnswerForecast {
+class ResponseEstimator {
  public:
   /// @param bytes size of the body of one response.
-  void noteSize(const std::string& route, std::size_t bytes) {
+  void recordSize(const std::string& route, std::size_t bytes) {
     routes_[route].bytes.add(static_cast<double>(bytes));
   }
   /// @param time from the start of an attempt to the first byte of its response.
-  void noteBeginning(const std::string& route, Duration time) {
+  void recordTimeToFirstByte(const std::string& route, Duration time) {
     routes_[route].first_byte_seconds.add(std::chrono::duration<double>(time).count());
   }
 
   /// @param time from the start of an attempt to the last byte of its response.
-  void noteWhole(const std::string& route, Duration time) {
+  void recordTimeToCompletion(const std::string& route, Duration time) {
     routes_[route].completion_seconds.add(std::chrono::duration<double>(time).count());
   }
 
@@ -37,7 +37,7 @@
 
   /// @param bytes_per_second rate at which responses are received.
   /// @return a time in which nearly every response of the route is complete; zero before the first one.
-  Duration timeUntilWhole(const std::string& route, double bytes_per_second) const {
+  Duration timeToCompletion(const std::string& route, double bytes_per_second) const {
     const auto found = routes_.find(route);
     if (found == routes_.end()) return Duration::zero();
     const double computed_seconds =
--- a/src/sidecar/response_intake.cpp
+++ b/src/sidecar/response_intake.cpp
@@ -5,8 +5,8 @@
 
 namespace cometstand::sidecar {
 
-void AnswerIntake::begin(std::uint64_t attempt_id, const wire::ForwardReplyT& reply, unsigned priority,
-                         Duration extra_latency, TimePoint now) {
+void ResponseIntake::begin(std::uint64_t attempt_id, const wire::ForwardReplyT& reply, unsigned priority,
+                           Duration extra_latency, TimePoint now) {
   now_ = now;
   const auto grant_to = [this, attempt_id](std::uint32_t bytes) { grant(attempt_id, bytes); };
   const auto flow = credit_.open(priority, ReceiveCredit::kUnknownSize, grant_to, now, extra_latency);
@@ -15,7 +15,7 @@
   credit_.grantMore(now);
 }
 
-void AnswerIntake::grant(std::uint64_t attempt_id, std::uint32_t bytes) {
+void ResponseIntake::grant(std::uint64_t attempt_id, std::uint32_t bytes) {
   const auto& response = responses_.at(attempt_id);
   wire::BodyGrantT message;
   message.bytes = bytes;
@@ -27,12 +27,12 @@
   grant_(attempt_id, message);
 }
 
-void AnswerIntake::confirm(std::uint64_t attempt_id) {
+void ResponseIntake::confirm(std::uint64_t attempt_id) {
   if (responses_.at(attempt_id).due) grant(attempt_id, 0);
 }
 
-AnswerIntake::Progress AnswerIntake::onPart(std::uint64_t attempt_id, const wire::BodyPartT& part,
-                                            TimePoint now) {
+ResponseIntake::Progress ResponseIntake::onPart(std::uint64_t attempt_id, const wire::BodyPartT& part,
+                                                TimePoint now) {
   const auto found = responses_.find(attempt_id);
   if (found == responses_.end()) return Progress::Unknown;
   now_ = now;
@@ -50,14 +50,14 @@
   return is_whole ? Progress::Whole : Progress::Open;
 }
 
-wire::ForwardReplyT AnswerIntake::take(std::uint64_t attempt_id) {
+wire::ForwardReplyT ResponseIntake::take(std::uint64_t attempt_id) {
   auto reply = std::move(responses_.at(attempt_id).reply);
   responses_.erase(attempt_id);
   reply.body_follows = false;
   return reply;
 }
 
-wire::ForwardReplyT AnswerIntake::pass(std::uint64_t attempt_id) {
+wire::ForwardReplyT ResponseIntake::beginStreaming(std::uint64_t attempt_id) {
   auto& [reply, flow, due] = responses_.at(attempt_id);
   credit_.setReader(flow, reply.body.size(), kMaxUnreadBytes);
   auto head = reply;
@@ -65,11 +65,11 @@
   return head;
 }
 
-std::vector<std::uint8_t> AnswerIntake::takePart(std::uint64_t attempt_id) {
+std::vector<std::uint8_t> ResponseIntake::takeReceivedBytes(std::uint64_t attempt_id) {
   return std::exchange(responses_.at(attempt_id).reply.body, {});
 }
 
-void AnswerIntake::onRead(std::uint64_t attempt_id, std::size_t bytes, TimePoint now) {
+void ResponseIntake::onRead(std::uint64_t attempt_id, std::size_t bytes, TimePoint now) {
   const auto found = responses_.find(attempt_id);
   if (found == responses_.end()) return;
   now_ = now;
@@ -77,19 +77,19 @@
   credit_.grantMore(now);
 }
 
-void AnswerIntake::expedite(Response& response, TimePoint due) {
+void ResponseIntake::expedite(Response& response, TimePoint due) {
   response.due = due;
   credit_.expedite(response.flow);
 }
 
-void AnswerIntake::expediteAll(TimePoint due, TimePoint now) {
+void ResponseIntake::expediteAll(TimePoint due, TimePoint now) {
   now_ = now;
   stop_due_ = due;
   for (auto& [attempt_id, response] : responses_) expedite(response, due);
   credit_.grantMore(now);
 }
 
-void AnswerIntake::expedite(std::uint64_t attempt_id, TimePoint due, TimePoint now) {
+void ResponseIntake::expedite(std::uint64_t attempt_id, TimePoint due, TimePoint now) {
   const auto found = responses_.find(attempt_id);
   if (found == responses_.end() || found->second.due) return;
   now_ = now;
@@ -97,7 +97,7 @@
   credit_.grantMore(now);
 }
 
-void AnswerIntake::drop(std::uint64_t attempt_id, TimePoint now) {
+void ResponseIntake::drop(std::uint64_t attempt_id, TimePoint now) {
   const auto found = responses_.find(attempt_id);
   if (found == responses_.end()) return;
   now_ = now;
--- a/src/sidecar/response_intake.h
+++ b/src/sidecar/response_intake.h
@@ -13,7 +13,7 @@
 
 /// Collects the large responses to this sidecar's requests, whose bodies are received in parts by credit. A
 /// response is delivered as complete only after its sender has marked it so.
-class AnswerIntake {
+class ResponseIntake {
  public:
   /// Sends a grant to the endpoint that processes the attempt.
   using Grant = std::function<void(std::uint64_t attempt_id, const wire::BodyGrantT& grant)>;
@@ -31,7 +31,7 @@
   };
 
   /// @param credit must outlive the object.
-  AnswerIntake(ReceiveCredit& credit, Grant grant) : credit_(credit), grant_(std::move(grant)) {}
+  ResponseIntake(ReceiveCredit& credit, Grant grant) : credit_(credit), grant_(std::move(grant)) {}
 
   /// Starts to collect a response.
   /// @param reply the response with the first bytes of its body.
@@ -42,16 +42,17 @@
   Progress onPart(std::uint64_t attempt_id, const wire::BodyPartT& part, TimePoint now);
   /// @return the complete response, which is removed.
   wire::ForwardReplyT take(std::uint64_t attempt_id);
-  /// @return true if so many bytes are buffered that the response should be streamed to its caller by pass().
-  bool isDue(std::uint64_t attempt_id) const {
+  /// @return true if so many bytes are buffered that the response should be streamed to its caller by
+  /// beginStreaming().
+  bool shouldStream(std::uint64_t attempt_id) const {
     return responses_.at(attempt_id).reply.body.size() >= kStreamingThresholdBytes;
   }
-  /// Switches the response to streaming: takePart() returns the bytes as they arrive, and credit is granted
-  /// as the reader consumes them.
+  /// Switches the response to streaming: takeReceivedBytes() returns the bytes as they arrive, and credit is
+  /// granted as the reader consumes them.
   /// @return the response with the bytes received so far.
-  wire::ForwardReplyT pass(std::uint64_t attempt_id);
+  wire::ForwardReplyT beginStreaming(std::uint64_t attempt_id);
   /// @return the bytes received since the last call.
-  std::vector<std::uint8_t> takePart(std::uint64_t attempt_id);
+  std::vector<std::uint8_t> takeReceivedBytes(std::uint64_t attempt_id);
   /// Records that the reader of a streamed response has consumed bytes.
   void onRead(std::uint64_t attempt_id, std::size_t bytes, TimePoint now);
   /// Expedites all current and future responses, because this sidecar needs them before its planned stop
--- a/src/sidecar/response_transfers.cpp
+++ b/src/sidecar/response_transfers.cpp
@@ -27,43 +27,43 @@
 
 }  // namespace
 
-std::vector<std::uint8_t> AnswerTransfers::nextBytes(Transfer& transfer, std::size_t bytes) {
+std::vector<std::uint8_t> ResponseTransfers::nextBytes(Transfer& transfer, std::size_t bytes) {
   const auto begin = transfer.body.begin() + static_cast<std::ptrdiff_t>(transfer.sent);
   const std::size_t length = std::min(bytes, transfer.unsentBytes());
   transfer.sent += length;
   return {begin, begin + static_cast<std::ptrdiff_t>(length)};
 }
 
-AnswerTransfers::Transfers::iterator AnswerTransfers::erase(Transfers::iterator transfer) {
+ResponseTransfers::Transfers::iterator ResponseTransfers::erase(Transfers::iterator transfer) {
   held_bytes_ -= transfer->second.body.size();
   return transfers_.erase(transfer);
 }
 
-bool AnswerTransfers::isFull(std::size_t answer_bytes, unsigned credit, TimePoint now) const {
+bool ResponseTransfers::isFull(std::size_t answer_bytes, unsigned credit, TimePoint now) const {
   if (held_bytes_ >= kMaxHeldBytes) return true;
   const bool is_large = credit > 0 && answer_bytes > credit;
   return is_large && expectedWait(now) >= kMaxExpectedWait;
 }
 
 /// The result covers at least the transmission time of the response itself, so that requests which are
-/// rejected together do not all retry at once while the link is still full.
-Duration AnswerTransfers::timeUntilRoom(std::size_t answer_bytes, TimePoint now) const {
+/// refused together do not all retry at once while the link is still full.
+Duration ResponseTransfers::timeUntilCapacity(std::size_t answer_bytes, TimePoint now) const {
   const std::size_t excess = held_bytes_ - std::min(held_bytes_, kMaxHeldBytes);
   return std::max(
       {expectedWait(now) - kMaxExpectedWait, transmissionTime(excess), transmissionTime(answer_bytes)});
 }
 
-Duration AnswerTransfers::transmissionTime(std::size_t bytes) const {
+Duration ResponseTransfers::transmissionTime(std::size_t bytes) const {
   const double rate = rate_.bytesPerSecond();
   if (rate <= 0) return Duration::zero();
   const std::chrono::duration<double> time(static_cast<double>(bytes) / rate);
   return std::chrono::duration_cast<Duration>(time);
 }
 
-Duration AnswerTransfers::expectedWait(TimePoint now) const {
+Duration ResponseTransfers::expectedWait(TimePoint now) const {
   std::size_t bytes = 0;
   std::size_t active = 0;
-  for (const auto& [asker, transfer] : transfers_) {
+  for (const auto& [requester, transfer] : transfers_) {
     if (transfer.last_grant_at + kStallTimeout <= now) continue;
     bytes += transfer.unsentBytes();
     ++active;
@@ -71,100 +71,102 @@
   return active < kMinActiveTransfers ? Duration::zero() : transmissionTime(bytes);
 }
 
-void AnswerTransfers::send(const GateAsker& asker, wire::ForwardReplyT reply, TimePoint now) {
-  const std::size_t credit = asker.answer.credit;
+void ResponseTransfers::send(const GateRequester& requester, wire::ForwardReplyT reply, TimePoint now) {
+  const std::size_t credit = requester.answer.credit;
   const bool is_large = credit > 0 && reply.body.size() > credit;
   if (is_large && reply.outcome == wire::ForwardOutcome::Answered) {
     Transfer transfer;
     transfer.body = std::move(reply.body);
-    transfer.abort_at = asker.answer.wanted_until + kCancelGracePeriod;
+    transfer.abort_at = requester.answer.useful_until + kCancelGracePeriod;
     reply.body = nextBytes(transfer, credit);
     reply.body_follows = true;
     transfer.sent_in_first_message = transfer.sent;
     transfer.last_grant_at = now;
-    cancel(asker);
+    cancel(requester);
     if (transfers_.empty()) rate_.begin(now);
     held_bytes_ += transfer.body.size();
-    transfers_.emplace(asker, std::move(transfer));
+    transfers_.emplace(requester, std::move(transfer));
   }
-  actions_.send(asker.link, std::move(reply), asker.request_id);
+  actions_.send(requester.link, std::move(reply), requester.request_id);
 }
 
-void AnswerTransfers::onGrant(const GateAsker& asker, const wire::BodyGrantT& grant, TimePoint now) {
-  const auto found = transfers_.find(asker);
-  unconfirmed_.onConfirmed(asker, grant.received, now);
+void ResponseTransfers::onGrant(const GateRequester& requester, const wire::BodyGrantT& grant,
+                                TimePoint now) {
+  const auto found = transfers_.find(requester);
+  unconfirmed_.onConfirmed(requester, grant.received, now);
   if (found != transfers_.end()) {
     auto& transfer = found->second;
     transfer.last_grant_at = now;
     transfer.granted += std::min<std::size_t>(grant.bytes, transfer.unsentBytes() - transfer.granted);
-    updateDueTime(asker, transfer, grant, now);
+    updateDueTime(requester, transfer, grant, now);
   }
   sendGranted(now);
 }
 
-void AnswerTransfers::updateDueTime(const GateAsker& asker, Transfer& transfer, const wire::BodyGrantT& grant,
-                                    TimePoint now) {
+void ResponseTransfers::updateDueTime(const GateRequester& requester, Transfer& transfer,
+                                      const wire::BodyGrantT& grant, TimePoint now) {
   if (grant.due_ms == 0) return;
   const std::size_t sent_in_parts = transfer.sent - transfer.sent_in_first_message;
   if (!transfer.due)
-    unconfirmed_.begin(asker, sent_in_parts, std::min<std::size_t>(grant.received, sent_in_parts), now);
+    unconfirmed_.begin(requester, sent_in_parts, std::min<std::size_t>(grant.received, sent_in_parts), now);
   transfer.due = now + std::chrono::milliseconds(grant.due_ms);
 }
 
-void AnswerTransfers::sendGranted(TimePoint now) {
+void ResponseTransfers::sendGranted(TimePoint now) {
   for (auto next = nextToSend(); next != transfers_.end(); next = nextToSend()) sendPart(next, now);
 }
 
-bool AnswerTransfers::isBelowUnconfirmedLimit(const GateAsker& asker, const Transfer& transfer) const {
-  return !transfer.due || unconfirmed_.bytesOf(asker) < kMaxUnconfirmedBytesPerTransfer;
+bool ResponseTransfers::isBelowUnconfirmedLimit(const GateRequester& requester,
+                                                const Transfer& transfer) const {
+  return !transfer.due || unconfirmed_.bytesOf(requester) < kMaxUnconfirmedBytesPerTransfer;
 }
 
-AnswerTransfers::Transfers::iterator AnswerTransfers::nextToSend() {
+ResponseTransfers::Transfers::iterator ResponseTransfers::nextToSend() {
   const bool has_due_transfer = std::any_of(transfers_.begin(), transfers_.end(), [](const auto& item) {
     return item.second.due && item.second.granted > 0;
   });
   if (has_due_transfer && unconfirmed_.totalBytes() >= kMaxUnconfirmedBytes) return transfers_.end();
   auto best = transfers_.end();
   for (auto item = transfers_.begin(); item != transfers_.end(); ++item) {
-    const auto& [asker, transfer] = *item;
-    if (transfer.granted == 0 || !isBelowUnconfirmedLimit(asker, transfer)) continue;
+    const auto& [requester, transfer] = *item;
+    if (transfer.granted == 0 || !isBelowUnconfirmedLimit(requester, transfer)) continue;
     if (best == transfers_.end() || transfer.effectiveDueTime() < best->second.effectiveDueTime())
       best = item;
   }
   return best;
 }
 
-void AnswerTransfers::sendPart(Transfers::iterator item, TimePoint now) {
-  const GateAsker asker = item->first;
+void ResponseTransfers::sendPart(Transfers::iterator item, TimePoint now) {
+  const GateRequester requester = item->first;
   auto& transfer = item->second;
   wire::BodyPartT part;
   part.bytes =
       nextBytes(transfer, transfer.due ? std::min(transfer.granted, kMaxDuePartBytes) : transfer.granted);
   transfer.granted -= part.bytes.size();
-  if (transfer.due) unconfirmed_.onSent(asker, part.bytes.size(), now);
+  if (transfer.due) unconfirmed_.onSent(requester, part.bytes.size(), now);
   rate_.onSent(part.bytes.size(), now);
   const bool is_whole = transfer.unsentBytes() == 0;
   if (is_whole) part.end = wire::BodyEnd::Whole;
-  actions_.send(asker.link, std::move(part), asker.request_id);
+  actions_.send(requester.link, std::move(part), requester.request_id);
   if (!is_whole) return;
-  unconfirmed_.finish(asker);
+  unconfirmed_.finish(requester);
   erase(item);
 }
 
-void AnswerTransfers::cancel(const GateAsker& asker) {
-  unconfirmed_.forget(asker);
-  const auto found = transfers_.find(asker);
+void ResponseTransfers::cancel(const GateRequester& requester) {
+  unconfirmed_.forget(requester);
+  const auto found = transfers_.find(requester);
   if (found != transfers_.end()) erase(found);
 }
 
-void AnswerTransfers::cancelLink(runtime::LinkId link) {
+void ResponseTransfers::cancelLink(runtime::LinkId link) {
   unconfirmed_.forgetLink(link);
   for (auto transfer = transfers_.begin(); transfer != transfers_.end();) {
     transfer = transfer->first.link == link ? erase(transfer) : std::next(transfer);
   }
 }
 
-void AnswerTransfers::onTimer(TimePoint now) {
+void ResponseTransfers::onTimer(TimePoint now) {
   for (auto transfer = transfers_.begin(); transfer != transfers_.end();) {
     if (transfer->second.abort_at > now) {
       ++transfer;
@@ -180,9 +182,9 @@
   sendGranted(now);
 }
 
-TimePoint AnswerTransfers::nextTimer() const {
+TimePoint ResponseTransfers::nextTimer() const {
   TimePoint next = unconfirmed_.nextExpiry();
-  for (const auto& [asker, transfer] : transfers_) next = std::min(next, transfer.abort_at);
+  for (const auto& [requester, transfer] : transfers_) next = std::min(next, transfer.abort_at);
   return next;
 }
 
--- a/src/sidecar/response_transfers.h
+++ b/src/sidecar/response_transfers.h
@@ -24,15 +24,15 @@
 /// with an incomplete response, and none with it (tests/crowded_stop).
 ///
 /// Invariant: each transfer ends with a part marked `Whole` or `Broken`, or with the requester's departure.
-class AnswerTransfers {
+class ResponseTransfers {
  public:
-  explicit AnswerTransfers(runtime::ActionQueue& actions) : actions_(actions) {}
+  explicit ResponseTransfers(runtime::ActionQueue& actions) : actions_(actions) {}
 
   /// Sends the response, or only its first part if it exceeds the requester's initial credit.
-  void send(const GateAsker& asker, wire::ForwardReplyT reply, TimePoint now);
-  void onGrant(const GateAsker& asker, const wire::BodyGrantT& grant, TimePoint now);
+  void send(const GateRequester& requester, wire::ForwardReplyT reply, TimePoint now);
+  void onGrant(const GateRequester& requester, const wire::BodyGrantT& grant, TimePoint now);
   /// Drops the response after its requester has cancelled the request.
-  void cancel(const GateAsker& asker);
+  void cancel(const GateRequester& requester);
   void cancelLink(runtime::LinkId link);
 
   /// Aborts the transfers whose deadline has passed before the requester granted the whole body.
@@ -53,7 +53,7 @@
   /// Call it only if isFull() returned true.
   /// @return the expected time until the link has sent enough for a further response; zero until a send rate
   /// is known.
-  Duration timeUntilRoom(std::size_t answer_bytes, TimePoint now) const;
+  Duration timeUntilCapacity(std::size_t answer_bytes, TimePoint now) const;
 
   /// Limit of the buffered responses at which admission stops: about seven responses of 540 KB, the largest
   /// usual size. Requests that already run may exceed it by one response for each slot of the target.
@@ -82,17 +82,17 @@
     std::size_t unsentBytes() const { return body.size() - sent; }
     TimePoint effectiveDueTime() const { return due ? std::min(*due, abort_at) : abort_at; }
   };
-  using Transfers = std::map<GateAsker, Transfer>;
+  using Transfers = std::map<GateRequester, Transfer>;
 
   /// @return the time that the link needs to send the bytes; zero until a send rate is known.
   Duration transmissionTime(std::size_t bytes) const;
   static std::vector<std::uint8_t> nextBytes(Transfer& transfer, std::size_t bytes);
-  void updateDueTime(const GateAsker& asker, Transfer& transfer, const wire::BodyGrantT& grant,
+  void updateDueTime(const GateRequester& requester, Transfer& transfer, const wire::BodyGrantT& grant,
                      TimePoint now);
   void sendGranted(TimePoint now);
   /// @return the transfer whose next part is to be sent; the end if none may be sent now.
   Transfers::iterator nextToSend();
-  bool isBelowUnconfirmedLimit(const GateAsker& asker, const Transfer& transfer) const;
+  bool isBelowUnconfirmedLimit(const GateRequester& requester, const Transfer& transfer) const;
   void sendPart(Transfers::iterator transfer, TimePoint now);
   Transfers::iterator erase(Transfers::iterator transfer);
 
--- a/src/sidecar/retry_budget.h
+++ b/src/sidecar/retry_budget.h
@@ -23,7 +23,7 @@
       : ratio_(shared_ratio * kUsedRatioShare), burst_(burst), shared_slack_(shared_slack) {}
 
   /// @param sidecars the number of sidecars that share the allowed retries.
-  void setSidecars(std::size_t sidecars) {
+  void setSidecarCount(std::size_t sidecars) {
     const double part =
         kUsedSlackShare * shared_slack_ / static_cast<double>(std::max<std::size_t>(1, sidecars));
     retained_tokens_ = std::clamp(part, kInitialTokens, std::max(burst_, kInitialTokens));
--- a/src/sidecar/run_samples.cpp
+++ b/src/sidecar/run_samples.cpp
@@ -27,7 +27,7 @@
 }
 
 void RunSamples::recordStart() {
-  if (counts()) ++started_;
+  if (isActive()) ++started_;
 }
 
 void RunSamples::recordRunTime(Route& route, Duration time) {
@@ -36,7 +36,7 @@
 }
 
 void RunSamples::recordCompletion(const std::string& name, bool failed, Duration time, bool was_cold) {
-  if (!counts()) return;
+  if (!isActive()) return;
   auto& route = routes_[name];
   if (failed) {
     ++route.ended;
--- a/src/sidecar/run_samples.h
+++ b/src/sidecar/run_samples.h
@@ -14,10 +14,10 @@
  public:
   /// Resets the counts if this is another roll-out than the current one; 0 for none.
   void follow(std::uint64_t rollout);
-  bool counts() const { return rollout_ != 0; }
+  bool isActive() const { return rollout_ != 0; }
 
   void recordStart();
-  /// @param was_cold the target was still warming up when the run began: the run time is not counted.
+  /// @param was_cold the target was still cold when the run began: the run time is not counted.
   void recordCompletion(const std::string& route, bool failed, Duration time, bool was_cold);
 
   /// Writes the counts to the report.
--- a/src/sidecar/sidecar_core.cpp
+++ b/src/sidecar/sidecar_core.cpp
@@ -40,13 +40,13 @@
       peers_(actions_, random_),
       incarnation_(random_.uniform(0, UINT64_MAX)),
       gate_(options_, target, quarantine_,
-            [this](const GateAsker& asker, wire::ForwardReplyT reply) {
-              answerAsker(asker, std::move(reply));
+            [this](const GateRequester& requester, wire::ForwardReplyT reply) {
+              replyToRequester(requester, std::move(reply));
             }),
       intake_(credit_, intakeListener()),
       answers_(actions_),
       quota_([this](const wire::QuotaRequestT& request, const auto& store, const auto& silent) {
-        return control_.askForQuota(request, store, silent);
+        return control_.requestQuota(request, store, silent);
       }),
       calls_({options_, actions_, random_, endpoints_, peers_, gate_, callers, rollouts_, quarantine_,
               credit_, quota_}) {}
@@ -59,7 +59,7 @@
 void SidecarCore::advance(TimePoint now) {
   const bool was_suspended = now >= now_ + kSuspensionThreshold;
   now_ = now;
-  if (was_suspended) gate_.doubtWarmth("suspended", now);
+  if (was_suspended) gate_.presumeCold("suspended", now);
 }
 
 void SidecarCore::onLinkOpened(LinkId link, const runtime::PeerIdentity& /*peer*/, TimePoint now) {
@@ -76,7 +76,7 @@
   if (control_.owns(link)) {
     control_.onLinkClosed(link, now);
   } else if (const auto address = peers_.onLinkClosed(link, now)) {
-    endpoints_.noteUnlinked(*address, now);
+    endpoints_.noteLinkFailed(*address, now);
     calls_.onPeerLost(*address, now);
   } else {
     arrivals_.forgetLink(link);
@@ -99,54 +99,55 @@
       calls_.onAnswerPart(*address, message.request_id, *part, now);
     }
   } else {
-    onAskerMessage(link, message, now);
+    onRequesterMessage(link, message, now);
   }
 }
 
 /// Handles a message of another sidecar about its requests for the target beside this one.
-void SidecarCore::onAskerMessage(LinkId link, const wire::EnvelopeT& message, TimePoint now) {
-  const GateAsker asker{link, message.request_id};
+void SidecarCore::onRequesterMessage(LinkId link, const wire::EnvelopeT& message, TimePoint now) {
+  const GateRequester requester{link, message.request_id};
   if (const auto* request = message.body.AsForwardRequest()) {
-    onAskerRequest(asker, *request, now);
+    onRequesterRequest(requester, *request, now);
   } else if (const auto* part = message.body.AsBodyPart()) {
-    intake_.onPart(asker, part->bytes, now);
+    intake_.onPart(requester, part->bytes, now);
   } else if (const auto* grant = message.body.AsBodyGrant()) {
-    answers_.onGrant(asker, *grant, now);
+    answers_.onGrant(requester, *grant, now);
   } else if (message.body.AsForwardCancel() != nullptr) {
-    arrivals_.forget(asker);
-    intake_.cancel(asker, now);
-    gate_.cancel(asker, now);
-    answers_.cancel(asker);
+    arrivals_.forget(requester);
+    intake_.cancel(requester, now);
+    gate_.cancel(requester, now);
+    answers_.cancel(requester);
   }
 }
 
-void SidecarCore::onAskerRequest(GateAsker asker, const wire::ForwardRequestT& request, TimePoint now) {
-  asker.answer = {request.answer_credit, now + std::chrono::milliseconds(request.deadline_ms)};
-  arrivals_.note(asker, now);
+void SidecarCore::onRequesterRequest(GateRequester requester, const wire::ForwardRequestT& request,
+                                     TimePoint now) {
+  requester.answer = {request.answer_credit, now + std::chrono::milliseconds(request.deadline_ms)};
+  arrivals_.note(requester, now);
   if (calls_.routes() == nullptr) {
-    gate_.refuse(asker, request, wire::NotRunReason::TargetDown, now);
+    gate_.refuse(requester, request, wire::NotRunReason::TargetDown, now);
   } else if (answers_.isFull(request.answer_bytes, request.answer_credit, now)) {
     // Slots may be free, but a retry before the link has room for the response would be refused, too.
-    gate_.refuse(asker, request, wire::NotRunReason::Full, now,
-                 answers_.timeUntilRoom(request.answer_bytes, now));
+    gate_.refuse(requester, request, wire::NotRunReason::Full, now,
+                 answers_.timeUntilCapacity(request.answer_bytes, now));
   } else if (request.announced_bytes == 0) {
-    gate_.admit(asker, std::make_shared<const wire::ForwardRequestT>(request), now);
-  } else if (!gate_.refuseNow(asker, request, now)) {
-    intake_.announce(asker, std::make_shared<wire::ForwardRequestT>(request), now);
+    gate_.admit(requester, std::make_shared<const wire::ForwardRequestT>(request), now);
+  } else if (!gate_.refuseNow(requester, request, now)) {
+    intake_.announce(requester, std::make_shared<wire::ForwardRequestT>(request), now);
   }
 }
 
 BodyIntake::Listener SidecarCore::intakeListener() {
   BodyIntake::Listener listener;
-  listener.grant = [this](const GateAsker& asker, std::uint32_t bytes) {
+  listener.grant = [this](const GateRequester& requester, std::uint32_t bytes) {
     wire::BodyGrantT grant;
     grant.bytes = bytes;
-    actions_.send(asker.link, grant, asker.request_id);
+    actions_.send(requester.link, grant, requester.request_id);
   };
-  listener.whole = [this](const GateAsker& asker, std::shared_ptr<wire::ForwardRequestT> request) {
-    gate_.admit(asker, std::move(request), now_);
+  listener.whole = [this](const GateRequester& requester, std::shared_ptr<wire::ForwardRequestT> request) {
+    gate_.admit(requester, std::move(request), now_);
   };
-  listener.refuse = [this](const GateAsker& asker, const wire::ForwardRequestT& request,
+  listener.refuse = [this](const GateRequester& requester, const wire::ForwardRequestT& request,
                            wire::NotRunReason reason) {
     logEvent(kBodyRefused, {{"request", request.request_id},
                             {"reason", wire::EnumNameNotRunReason(reason)},
@@ -156,19 +157,19 @@
                             {"patience_ms", request.patience_ms},
                             {"intake_wait_ms", ceilMilliseconds(intake_.expectedWait())},
                             {"bodies", intake_.size()}});
-    gate_.refuse(asker, request, reason, now_);
+    gate_.refuse(requester, request, reason, now_);
   };
   return listener;
 }
 
-void SidecarCore::answerAsker(const GateAsker& asker, wire::ForwardReplyT reply) {
+void SidecarCore::replyToRequester(const GateRequester& requester, wire::ForwardReplyT reply) {
   reply.intake_wait_ms = static_cast<std::uint32_t>(ceilMilliseconds(intake_.expectedWait()));
   reply.answer_wait_ms = static_cast<std::uint32_t>(ceilMilliseconds(answers_.expectedWait(now_)));
-  reply.at_endpoint_ms = static_cast<std::uint32_t>(ceilMilliseconds(arrivals_.take(asker, now_)));
-  if (asker.link == LinkId{}) {
-    calls_.onReply(options_.advertise, asker.request_id, reply, now_);
+  reply.at_endpoint_ms = static_cast<std::uint32_t>(ceilMilliseconds(arrivals_.take(requester, now_)));
+  if (requester.link == LinkId{}) {
+    calls_.onReply(options_.advertise, requester.request_id, reply, now_);
   } else {
-    answers_.send(asker, std::move(reply), now_);
+    answers_.send(requester, std::move(reply), now_);
   }
 }
 
@@ -177,9 +178,9 @@
   calls_.setRoutes(table);
   setColdStart(now);
   gate_.setRoutes(table);
-  askTarget();
+  requestTargetHealth();
   // Before the first configuration the endpoint is not published as live.
-  if (is_first && gate_.target().condition() != TargetCondition::Unheard) onTargetChanged(now);
+  if (is_first && gate_.target().condition() != TargetCondition::Unknown) onTargetChanged(now);
 }
 
 void SidecarCore::onEndpoints(const wire::EndpointUpdateT& update, bool is_whole, TimePoint now) {
@@ -187,15 +188,15 @@
   for (const auto& record : update.records) {
     rollouts_.noteVersion(record->service, record->version, now);
     if (record->state == wire::EndpointState::Leaving)
-      calls_.onEndpointLeaves({record->address, record->port}, now);
+      calls_.onEndpointDraining({record->address, record->port}, now);
   }
-  calls_.setSidecars(endpoints_.all().size());
+  calls_.setSidecarCount(endpoints_.all().size());
   updateSubset(update, now);
 }
 
 void SidecarCore::onRollouts(const wire::RolloutUpdateT& update, TimePoint now) {
   rollouts_.apply(update, now);
-  subset_.setWhole(rollouts_.servicesInRollout());
+  subset_.setUnrestrictedServices(rollouts_.servicesInRollout());
   openLinks(now);
   applyRollouts(now);
   // The leader waits for this sidecar's report on the rollout step.
@@ -206,7 +207,7 @@
   if (!evacuations_.apply(update)) return;
   const bool is_own = evacuations_.isEvacuated(options_.zone);
   // The zone's targets may have restarted while they received no requests.
-  if (gate_.isEvacuated() && !is_own) gate_.doubtWarmth("evacuation ended", now);
+  if (gate_.isEvacuated() && !is_own) gate_.presumeCold("evacuation ended", now);
   gate_.setEvacuated(is_own, now);
   logEvent(kEvacuationsChanged, {{"number", evacuations_.number()},
                                  {"zones", fmt::format("{}", fmt::join(evacuations_.zones(), " "))},
@@ -251,7 +252,7 @@
     const Address address{record->address, record->port};
     const auto* endpoint = endpoints_.find(address);
     if (address == options_.advertise) {
-      endpoints_.noteOwn(address);
+      endpoints_.noteLocalEndpoint(address);
     } else if (endpoint != nullptr) {
       // A leaving endpoint keeps its link until its record expires, since most endpoints soon return.
       subset_.add(address, endpoint->service, endpoint->version, endpoint->zone);
@@ -280,7 +281,7 @@
     const auto* endpoint = endpoints_.find(address);
     const bool is_needed = subset_.contains(address) || (endpoint != nullptr && endpoint->outstanding > 0);
     if (is_needed) continue;
-    endpoints_.noteReleased(address);
+    endpoints_.noteLinkClosed(address);
     peers_.remove(address);
   }
 }
@@ -296,11 +297,11 @@
   if (now >= rollout_report_at_) reportRollout(now);
   if (gate_.isClosed(now)) {
     const auto reason = gate_.isEvacuated() ? wire::NotRunReason::Evacuated : wire::NotRunReason::Leaving;
-    intake_.refuseUnbegun(reason, now);
+    intake_.refuseUnstarted(reason, now);
   }
   gate_.onTimer(now);
-  askIfDoubted(now);
-  if (hasTurned(now)) onTargetChanged(now);
+  sendHealthCheckIfDue(now);
+  if (hasColdStateChanged(now)) onTargetChanged(now);
   quota_.onTimer(now);
   calls_.onTimer(now);
   checkStop(now);
@@ -339,7 +340,7 @@
 /// Callers on this machine are still served for stop_minimum. The target therefore keeps receiving requests
 /// until their run time and the time to send the remaining responses would exceed that.
 TimePoint SidecarCore::gateClosesAt() const {
-  const Duration drain_time = kRunTimesBeforeStop * gate_.usualRunTime() + answers_.expectedWait(now_);
+  const Duration drain_time = kRunTimesBeforeStop * gate_.meanRunTime() + answers_.expectedWait(now_);
   return std::max(*stop_began_ + options_.leaving_grace, *stop_began_ + options_.stop_minimum - drain_time);
 }
 
@@ -349,7 +350,7 @@
   if (!withdrawn_ && now >= gateClosesAt() - options_.leaving_grace) {
     withdrawn_ = true;
     gate_.closeAt(now + options_.leaving_grace);
-    if (gate_.target().condition() != TargetCondition::Unheard) onTargetChanged(now);
+    if (gate_.target().condition() != TargetCondition::Unknown) onTargetChanged(now);
   }
 }
 
@@ -361,17 +362,17 @@
 bool SidecarCore::stopped() const {
   if (!stop_began_) return false;
   const Duration time = now_ - *stop_began_;
-  return time >= options_.stopMaximum() ||
+  return time >= options_.requestCancelTime() ||
          (time >= options_.stop_minimum && isIdle() && gate_.isClosed(now_));
 }
 
 void SidecarCore::onStopEnding(TimePoint now) {
   advance(now);
-  calls_.endStop();
+  calls_.refuseAllRequests();
   logEvent(kSidecarStopEnded, {{"reason", isIdle() ? "idle" : "time_limit"},
                                {"took_ms", stop_began_ ? ceilMilliseconds(now - *stop_began_) : 0},
                                {"calls", calls_.inFlight()},
-                               {"answers_arriving", calls_.answersArriving()},
+                               {"answers_arriving", calls_.largeAnswersInFlight()},
                                {"running", gate_.running()},
                                {"waiting", gate_.waiting()},
                                {"bodies", intake_.size()},
--- a/src/sidecar/sidecar_core.h
+++ b/src/sidecar/sidecar_core.h
@@ -46,9 +46,9 @@
   void onHealth(const TargetHealth& health, TimePoint now);
   void onDeregistered(const mesh::Incarnation& incarnation, TimePoint now);
   /// Counts and logs a heartbeat or deregistration that could not be parsed. It has no other effect.
-  void onUnreadableWord(const std::string& id, const Error& error);
+  void onUnreadableMessage(const std::string& id, const Error& error);
   /// @return number of heartbeats and deregistrations that could not be parsed, by the kind of the error.
-  const std::map<ErrorKind, std::uint64_t>& unreadableMessages() const { return unreadable_words_; }
+  const std::map<ErrorKind, std::uint64_t>& unreadableMessages() const { return unreadable_messages_; }
 
   /// Replaces the seeds; stores that are already known are kept.
   void setSeeds(std::vector<runtime::Address> seeds, TimePoint now) {
@@ -67,8 +67,8 @@
   /// @return time until the target is considered warm, as of the last processed event.
   Duration targetColdTime() const { return gate_.coldTime(now_); }
   const BodyIntake& intake() const { return intake_; }
-  const AnswerTransfers& answers() const { return answers_; }
-  std::size_t answersArriving() const { return calls_.answersArriving(); }
+  const ResponseTransfers& answers() const { return answers_; }
+  std::size_t largeAnswersInFlight() const { return calls_.largeAnswersInFlight(); }
   const EndpointDirectory& endpoints() const { return endpoints_; }
   const Quarantine& quarantine() const { return quarantine_; }
   const ZoneEvacuations& evacuations() const { return evacuations_; }
@@ -94,7 +94,9 @@
   void onRollouts(const wire::RolloutUpdateT& update, TimePoint now) override;
   void onQuarantine(const wire::QuarantineUpdateT& update) override { quarantine_.apply(update); }
   void onEvacuations(const wire::EvacuationUpdateT& update, TimePoint now) override;
-  void onCrashReportTaken(const std::string& instance) override { quarantine_.onReportTaken(instance); }
+  void onCrashReportAcknowledged(const std::string& instance) override {
+    quarantine_.onReportAcknowledged(instance);
+  }
   void onQuotaGrant(const runtime::Address& store, const wire::QuotaGrantT& grant, TimePoint now) override {
     if (quota_.onGrant(store, grant, now)) calls_.onQuota(now);
   }
@@ -104,18 +106,18 @@
   void reportRollout(TimePoint now);
   /// Must be called for each event: updates the time and detects whether the process was suspended.
   void advance(TimePoint now);
-  void askIfDoubted(TimePoint now);
-  bool hasTurned(TimePoint now) const;
+  void sendHealthCheckIfDue(TimePoint now);
+  bool hasColdStateChanged(TimePoint now) const;
   /// Applies the cold start parameters of the target's service from the active configuration.
   void setColdStart(TimePoint now);
 
-  void onAskerMessage(runtime::LinkId link, const wire::EnvelopeT& message, TimePoint now);
-  void onAskerRequest(GateAsker asker, const wire::ForwardRequestT& request, TimePoint now);
-  void answerAsker(const GateAsker& asker, wire::ForwardReplyT reply);
+  void onRequesterMessage(runtime::LinkId link, const wire::EnvelopeT& message, TimePoint now);
+  void onRequesterRequest(GateRequester requester, const wire::ForwardRequestT& request, TimePoint now);
+  void replyToRequester(const GateRequester& requester, wire::ForwardReplyT reply);
   BodyIntake::Listener intakeListener();
   void onTargetChanged(TimePoint now);
-  void askTarget();
-  bool isNamed(const std::string& service) const;
+  void requestTargetHealth();
+  bool isServiceConfigured(const std::string& service) const;
   wire::EndpointRecordT ownRecord() const;
   /// Adds the endpoints of the update to the subset, and opens links to those selected.
   void updateSubset(const wire::EndpointUpdateT& update, TimePoint now);
@@ -134,7 +136,7 @@
   runtime::ActionQueue actions_;
   TimePoint now_;
   TargetPort& target_port_;
-  bool asked_target_ = false;
+  bool has_requested_health_ = false;
   ControlClient control_;
   Quarantine quarantine_;
   ZoneEvacuations evacuations_;
@@ -148,7 +150,7 @@
   ReceiveCredit credit_;
   BodyIntake intake_;
   ArrivalTimes arrivals_;
-  AnswerTransfers answers_;
+  ResponseTransfers answers_;
   TenantQuota quota_;
   OutboundCalls calls_;
   TimePoint expire_at_;
@@ -156,7 +158,7 @@
   TimePoint stop_check_at_;
   /// The endpoint is published as leaving because this sidecar stops.
   bool withdrawn_ = false;
-  std::map<ErrorKind, std::uint64_t> unreadable_words_;
+  std::map<ErrorKind, std::uint64_t> unreadable_messages_;
   /// The newest published record of the endpoint marks the target as cold.
   bool is_reported_cold_ = false;
 };
--- a/src/sidecar/sidecar_options.h
+++ b/src/sidecar/sidecar_options.h
@@ -76,7 +76,7 @@
 
   /// Minimum time that a request may wait for a slot, however short its latency objective. Microseconds,
   /// default 20 ms, range 0 to 10 s.
-  Duration least_patience = std::chrono::milliseconds(20);
+  Duration min_queue_wait = std::chrono::milliseconds(20);
 
   /// The last free slot of a target is reserved for requests whose latency objective is less than this many
   /// times the shortest objective received. Default 4, range 1 to 1,000,000.
@@ -93,8 +93,8 @@
   /// Minimum time in a planned stop during which callers are still served after the sidecar reported that it
   /// is not ready. Microseconds, default 2.3 s, range 0 to 60 s.
   Duration stop_minimum = std::chrono::milliseconds(2'300);
-  /// Time in a planned stop after which only requests with a deadline before stopMaximum() are accepted.
-  /// Microseconds, default 2.8 s, range 0 to 60 s.
+  /// Time in a planned stop after which only requests with a deadline before requestCancelTime() are
+  /// accepted. Microseconds, default 2.8 s, range 0 to 60 s.
   Duration stop_accept_all = std::chrono::milliseconds(2'800);
   /// Time after which the process is killed if a planned stop is not complete. Microseconds, default 6 s,
   /// range 300 ms to 10 min.
@@ -102,11 +102,11 @@
 
   /// @return time after the beginning of a planned stop at which the remaining requests are cancelled, which
   /// leaves kStopReserve to send the last responses and to exit.
-  Duration stopMaximum() const { return stop_time_limit - kStopReserve; }
+  Duration requestCancelTime() const { return stop_time_limit - kStopReserve; }
 
   /// @return time after the beginning of a planned stop at which the process exits, even if responses to
   /// callers are still being sent.
-  Duration stopLimit() const { return stop_time_limit - kExitReserve; }
+  Duration processExitTime() const { return stop_time_limit - kExitReserve; }
 
   /// Time reserved for sending the last responses and for the exit of the process.
   static constexpr Duration kStopReserve = std::chrono::milliseconds(200);
--- a/src/sidecar/sidecar_pages.cpp
+++ b/src/sidecar/sidecar_pages.cpp
@@ -44,7 +44,7 @@
   }
   set.counter("cometstand_sidecar_region_held_back_total",
               "Endpoint selections that excluded another region because its link's share was used up.",
-              static_cast<double>(links.heldBack()));
+              static_cast<double>(links.throttledRequests()));
 }
 
 }  // namespace
@@ -77,7 +77,7 @@
       core_.intake().size());
   metrics.gauge("cometstand_sidecar_answers_arriving",
                 "Large responses to this sidecar's requests that are being received.",
-                static_cast<double>(core_.answersArriving()));
+                static_cast<double>(core_.largeAnswersInFlight()));
   metrics.gauge(
       "cometstand_sidecar_answers_leaving",
       "Large responses of the target for which other sidecars have not granted the full credit yet.",
--- a/src/sidecar/sidecar_settings.cpp
+++ b/src/sidecar/sidecar_settings.cpp
@@ -53,7 +53,7 @@
       "granted, so that other messages can be sent in between; 0: each response is sent in one message.");
   table.number("sidecar.queue_share", options.queue_share, {0, 1},
                "Share of a request's latency objective that it may wait for a slot of its target.");
-  table.duration("sidecar.least_patience", options.least_patience, {milliseconds(0), seconds(10)},
+  table.duration("sidecar.least_patience", options.min_queue_wait, {milliseconds(0), seconds(10)},
                  "Minimum time that a request may wait for a slot, however short its latency objective.");
   table.integer<unsigned>("sidecar.long_objective_ratio", options.long_objective_ratio, {1, 1'000'000},
                           "The last free slot of a target is reserved for requests whose latency objective "
--- a/src/sidecar/sidecar_target.cpp
+++ b/src/sidecar/sidecar_target.cpp
@@ -13,35 +13,35 @@
 
 void SidecarCore::onRunResult(RunId id, RunResult result, TimePoint now) {
   advance(now);
-  if (result.other_instance && gate_.target().onOtherId(gate_.target().incarnation().id))
+  if (result.instance_mismatch && gate_.target().onIdMismatch(gate_.target().incarnation().id))
     onTargetChanged(now);
   gate_.onResult(id, std::move(result), now);
 }
 
 /// The target of this sidecar's own service may register before the configuration that names the service
 /// arrives.
-bool SidecarCore::isNamed(const std::string& service) const {
+bool SidecarCore::isServiceConfigured(const std::string& service) const {
   return service == options_.service || calls_.routes() == nullptr || calls_.routes()->knows(service);
 }
 
 void SidecarCore::onHeartbeat(const Heartbeat& beat, TimePoint now) {
   advance(now);
-  if (!isNamed(beat.service)) {
+  if (!isServiceConfigured(beat.service)) {
     throw Error(ErrorKind::Invalid, "no configuration names the service",
                 "send the service of this machine, or put it into the configuration");
   }
   const bool has_changed = gate_.target().onHeartbeat(beat, now);
   gate_.onHeartbeat(beat, now);
-  if (has_changed || hasTurned(now)) onTargetChanged(now);
+  if (has_changed || hasColdStateChanged(now)) onTargetChanged(now);
 }
 
 void SidecarCore::onHealth(const TargetHealth& health, TimePoint now) {
   advance(now);
   const bool is_ready = health.ready && !health.instance.empty();
   const bool has_target_changed =
-      is_ready && gate_.target().onReadyWhenAsked(health.instance, options_.service, health.slots);
+      is_ready && gate_.target().onHealthCheckPassed(health.instance, options_.service, health.slots);
   gate_.onHealth(health, now);
-  if (has_target_changed || hasTurned(now)) onTargetChanged(now);
+  if (has_target_changed || hasColdStateChanged(now)) onTargetChanged(now);
 }
 
 void SidecarCore::onProbed(ProbeOutcome outcome, TimePoint now) {
@@ -51,12 +51,12 @@
 
 /// Requests the health of a target of which no heartbeat has arrived, so that a sidecar that starts beside a
 /// running target need not wait for its next heartbeat.
-void SidecarCore::askTarget() {
-  if (asked_target_ || gate_.target().condition() != TargetCondition::Unheard) return;
+void SidecarCore::requestTargetHealth() {
+  if (has_requested_health_ || gate_.target().condition() != TargetCondition::Unknown) return;
   const auto path = calls_.routes()->healthPath(options_.service);
   if (path.empty()) return;
-  asked_target_ = true;
-  target_port_.askHealth(path);
+  has_requested_health_ = true;
+  target_port_.requestHealth(path);
 }
 
 void SidecarCore::onDeregistered(const mesh::Incarnation& incarnation, TimePoint now) {
@@ -64,11 +64,11 @@
   if (gate_.target().onDeregistered(incarnation, now)) onTargetChanged(now);
 }
 
-void SidecarCore::onUnreadableWord(const std::string& id, const Error& error) {
-  ++unreadable_words_[error.kind()];
-  logEvent(kUnreadableWord, {{"id", id.substr(0, kMaxLoggedIdBytes)},
-                             {"kind", std::string(errorKindName(error.kind()))},
-                             {"reason", error.what()}});
+void SidecarCore::onUnreadableMessage(const std::string& id, const Error& error) {
+  ++unreadable_messages_[error.kind()];
+  logEvent(kUnreadableMessage, {{"id", id.substr(0, kMaxLoggedIdBytes)},
+                                {"kind", std::string(errorKindName(error.kind()))},
+                                {"reason", error.what()}});
 }
 
 void SidecarCore::onTargetChanged(TimePoint now) {
@@ -92,8 +92,8 @@
 
 /// @return true if the last record sent to the stores differs from the target's own reports on whether it is
 /// cold.
-bool SidecarCore::hasTurned(TimePoint now) const {
-  if (gate_.target().condition() == TargetCondition::Unheard) return false;
+bool SidecarCore::hasColdStateChanged(TimePoint now) const {
+  if (gate_.target().condition() == TargetCondition::Unknown) return false;
   return is_reported_cold_ != (gate_.reportedColdTime(now) > Duration::zero());
 }
 
@@ -123,12 +123,12 @@
       calls_.routes()->coldStart(reported_service.empty() ? options_.service : reported_service), now);
 }
 
-void SidecarCore::askIfDoubted(TimePoint now) {
+void SidecarCore::sendHealthCheckIfDue(TimePoint now) {
   if (calls_.routes() == nullptr) return;
   // The health check counts as sent even without a path, or it would remain due forever.
   if (!gate_.startHealthCheckIfDue(now)) return;
   const auto path = calls_.routes()->healthPath(gate_.target().service());
-  if (!path.empty()) target_port_.askHealth(path);
+  if (!path.empty()) target_port_.requestHealth(path);
 }
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/target_gate.cpp
+++ b/src/sidecar/target_gate.cpp
@@ -34,12 +34,12 @@
 
 std::optional<wire::NotRunReason> TargetGate::refusalReason(const wire::ForwardRequestT& request,
                                                             TimePoint now) const {
-  if (target_.condition() == TargetCondition::Unheard) return wire::NotRunReason::TargetDown;
+  if (target_.condition() == TargetCondition::Unknown) return wire::NotRunReason::TargetDown;
   if (target_.service() != request.service) return wire::NotRunReason::WrongTarget;
   if (refusesAsEvacuated(now)) return wire::NotRunReason::Evacuated;
   if (!isServedInRegion(request)) return wire::NotRunReason::WrongTarget;
   if (isClosed(now)) return wire::NotRunReason::Leaving;
-  if (quarantine_.blocks(request)) return wire::NotRunReason::Quarantined;
+  if (quarantine_.isQuarantined(request)) return wire::NotRunReason::Quarantined;
   if (std::chrono::milliseconds(request.deadline_ms) < kMinTimeLeft) return wire::NotRunReason::Deadline;
   return std::nullopt;
 }
@@ -124,7 +124,7 @@
   return estimateWait(static_cast<std::size_t>(ahead), now) > maxQueueTime(request, now);
 }
 
-void TargetGate::reply(const GateAsker& asker, wire::ForwardReplyT reply, TimePoint now) {
+void TargetGate::reply(const GateRequester& requester, wire::ForwardReplyT reply, TimePoint now) {
   reply.running = running();
   reply.waiting = waiting();
   reply.slots = slots();
@@ -132,15 +132,15 @@
   reply.run_time_permille = static_cast<std::uint32_t>(relative_run_time_ * kPermille);
   reply.cold_ms = static_cast<std::uint32_t>(ceilMilliseconds(coldTime(now)));
   reply.cold_room = reply.cold_ms == 0 ? 0 : cold_limit_.available(now);
-  answer_(asker, std::move(reply));
+  answer_(requester, std::move(reply));
 }
 
-void TargetGate::refuse(const GateAsker& asker, const wire::ForwardRequestT& request,
+void TargetGate::refuse(const GateRequester& requester, const wire::ForwardRequestT& request,
                         wire::NotRunReason reason, TimePoint now, Duration min_wait) {
   wire::ForwardReplyT answer;
   answer.outcome = wire::ForwardOutcome::NotRun;
   answer.reason = reason;
-  metrics_.noteRefusal(reason);
+  metrics_.recordRefusal(reason);
   const Duration wait = std::max({estimateWait(waiting_.size(), now), min_wait, kMinRetryAfter});
   logEvent(kGateRefused, {{"request", request.request_id},
                           {"reason", wire::EnumNameNotRunReason(reason)},
@@ -154,26 +154,27 @@
                           {"patience_ms", request.patience_ms},
                           {"expected_wait_ms", ceilMilliseconds(wait)}});
   answer.retry_after_ms = static_cast<std::uint32_t>(ceilMilliseconds(wait));
-  reply(asker, std::move(answer), now);
+  reply(requester, std::move(answer), now);
 }
 
-bool TargetGate::refuseNow(const GateAsker& asker, const wire::ForwardRequestT& request, TimePoint now) {
+bool TargetGate::refuseNow(const GateRequester& requester, const wire::ForwardRequestT& request,
+                           TimePoint now) {
   auto reason = refusalReason(request, now);
   if (!reason && isFullFor(request, now)) reason = capacityRefusalReason(now);
   if (!reason) return false;
-  refuse(asker, request, *reason, now);
+  refuse(requester, request, *reason, now);
   return true;
 }
 
-void TargetGate::admit(const GateAsker& asker, ForwardRequestPointer request, TimePoint now) {
+void TargetGate::admit(const GateRequester& requester, ForwardRequestPointer request, TimePoint now) {
   now_ = now;
   if (const auto reason = refusalReason(*request, now)) {
-    refuse(asker, *request, *reason, now);
+    refuse(requester, *request, *reason, now);
     return;
   }
   const TimePoint deadline = now + std::chrono::milliseconds(request->deadline_ms);
   // Queued requests are served first if the limit of a cold target has allowed more since the last event.
-  if (warmth_.isCold(now)) startWaiting(now);
+  if (cold_start_.isCold(now)) startWaiting(now);
   recordObjective(*request, now);
   if (yields(*request)) {
     yielding_seen_at_ = now;
@@ -182,24 +183,24 @@
   }
   if (hasSlotFor(*request, now)) {
     metrics_.waiting_time.note(Duration::zero());
-    start(asker, request, deadline, now);
+    start(requester, request, deadline, now);
     return;
   }
   if (isFullFor(*request, now)) {
-    refuse(asker, *request, capacityRefusalReason(now), now);
+    refuse(requester, *request, capacityRefusalReason(now), now);
     return;
   }
   const QueueKey key = queueKeyOf(*request, now);
   ++next_number_;
-  waiting_.emplace(key, QueuedRequest{asker, std::move(request), now, deadline, key.start_by});
+  waiting_.emplace(key, QueuedRequest{requester, std::move(request), now, deadline, key.start_by});
 }
 
-void TargetGate::start(const GateAsker& asker, const ForwardRequestPointer& request, TimePoint deadline,
-                       TimePoint now) {
+void TargetGate::start(const GateRequester& requester, const ForwardRequestPointer& request,
+                       TimePoint deadline, TimePoint now) {
   const RunId id{next_run_++};
-  const bool is_cold = now < target_.coldUntil() || warmth_.isCold(now);
-  running_.emplace(
-      id, RunningRequest{asker, request, now, deadline, is_cold, yields(*request), target_.incarnation()});
+  const bool is_cold = now < target_.coldUntil() || cold_start_.isCold(now);
+  running_.emplace(id, RunningRequest{requester, request, now, deadline, is_cold, yields(*request),
+                                      target_.incarnation()});
   samples_.recordStart();
   cold_limit_.recordSent(now);
   port_.run({id, request, target_.incarnation().id, deadline - now});
@@ -214,21 +215,22 @@
     const QueuedRequest next = std::move(first->second);
     waiting_.erase(first);
     if (const auto reason = refusalReason(*next.request, now)) {
-      refuse(next.asker, *next.request, *reason, now);
+      refuse(next.requester, *next.request, *reason, now);
     } else if (next.deadline - now < kMinTimeLeft) {
-      refuse(next.asker, *next.request, wire::NotRunReason::Deadline, now);
+      refuse(next.requester, *next.request, wire::NotRunReason::Deadline, now);
     } else {
       metrics_.waiting_time.note(now - next.arrived_at);
-      start(next.asker, next.request, next.deadline, now);
+      start(next.requester, next.request, next.deadline, now);
     }
   }
 }
 
-void TargetGate::cancel(const GateAsker& asker, TimePoint now) {
+void TargetGate::cancel(const GateRequester& requester, TimePoint now) {
   now_ = now;
-  std::erase_if(waiting_, [&asker](const auto& item) { return item.second.asker == asker; });
-  const auto run = std::find_if(running_.begin(), running_.end(),
-                                [&asker](const auto& item) { return item.second.asker == asker; });
+  std::erase_if(waiting_, [&requester](const auto& item) { return item.second.requester == requester; });
+  const auto run = std::find_if(running_.begin(), running_.end(), [&requester](const auto& item) {
+    return item.second.requester == requester;
+  });
   if (run == running_.end()) return;
   port_.cancel(run->first);
   recordAbandoned(run->second, now);
@@ -238,9 +240,9 @@
 
 void TargetGate::cancelLink(runtime::LinkId link, TimePoint now) {
   now_ = now;
-  std::erase_if(waiting_, [link](const auto& item) { return item.second.asker.link == link; });
+  std::erase_if(waiting_, [link](const auto& item) { return item.second.requester.link == link; });
   std::erase_if(running_, [this, link, now](const auto& item) {
-    if (item.second.asker.link != link) return false;
+    if (item.second.requester.link != link) return false;
     port_.cancel(item.first);
     recordAbandoned(item.second, now);
     return true;
@@ -258,7 +260,7 @@
   recordOutcome(finished, result.reply, now);
   recordEnd(finished, result.reply, now);
   startWaiting(now);
-  reply(finished.asker, std::move(result.reply), now);
+  reply(finished.requester, std::move(result.reply), now);
 }
 
 void TargetGate::onTargetChanged(TimePoint now) {
@@ -274,9 +276,9 @@
 
 void TargetGate::onTimer(TimePoint now) {
   now_ = now;
-  if (last_heartbeat_at_ && now >= *last_heartbeat_at_ + TargetState::kSilence) {
+  if (last_heartbeat_at_ && now >= *last_heartbeat_at_ + TargetState::kHeartbeatTimeout) {
     last_heartbeat_at_.reset();
-    doubtWarmth("no heartbeat", now);
+    presumeCold("no heartbeat", now);
   }
   std::vector<QueuedRequest> expired;
   std::erase_if(waiting_, [&](const auto& item) {
@@ -285,7 +287,7 @@
     return true;
   });
   for (const auto& waiting : expired)
-    refuse(waiting.asker, *waiting.request, capacityRefusalReason(now), now);
+    refuse(waiting.requester, *waiting.request, capacityRefusalReason(now), now);
   std::vector<RunningRequest> overdue;
   std::erase_if(running_, [&](const auto& item) {
     if (item.second.deadline + kAnswerGrace > now) return false;
@@ -298,7 +300,7 @@
     wire::ForwardReplyT answer;
     answer.outcome = wire::ForwardOutcome::Unknown;
     recordEnd(run, answer, now);
-    reply(run.asker, std::move(answer), now);
+    reply(run.requester, std::move(answer), now);
   }
   startWaiting(now);
 }
--- a/src/sidecar/target_gate.h
+++ b/src/sidecar/target_gate.h
@@ -34,7 +34,7 @@
   /// How long after a request's deadline the gate still waits for the target's own result.
   static constexpr Duration kAnswerGrace = std::chrono::milliseconds(30);
 
-  using Answer = std::function<void(const GateAsker&, wire::ForwardReplyT)>;
+  using Answer = std::function<void(const GateRequester&, wire::ForwardReplyT)>;
 
   /// @param port and quarantine must outlive the gate.
   TargetGate(const SidecarOptions& options, TargetPort& port, Quarantine& quarantine, Answer answer)
@@ -48,17 +48,17 @@
   TargetState& target() { return target_; }
   const TargetState& target() const { return target_; }
 
-  void admit(const GateAsker& asker, ForwardRequestPointer request, TimePoint now);
+  void admit(const GateRequester& requester, ForwardRequestPointer request, TimePoint now);
   /// Refuses the request if admit() would refuse it at once.
   /// @return true if it was refused.
-  bool refuseNow(const GateAsker& asker, const wire::ForwardRequestT& request, TimePoint now);
+  bool refuseNow(const GateRequester& requester, const wire::ForwardRequestT& request, TimePoint now);
   /// Answers NotRun: the request has not run and will not.
   /// @param min_wait lower bound of the retry delay, for limits other than the slots.
-  void refuse(const GateAsker& asker, const wire::ForwardRequestT& request, wire::NotRunReason reason,
+  void refuse(const GateRequester& requester, const wire::ForwardRequestT& request, wire::NotRunReason reason,
               TimePoint now, Duration min_wait = Duration::zero());
   /// @return true if new requests are refused because the target or this sidecar is shutting down.
   bool isLeaving(TimePoint now) const;
-  void cancel(const GateAsker& asker, TimePoint now);
+  void cancel(const GateRequester& requester, TimePoint now);
   /// Cancels all requests that were received over the link.
   void cancelLink(runtime::LinkId link, TimePoint now);
   void onResult(RunId id, RunResult result, TimePoint now);
@@ -71,7 +71,7 @@
   /// Treats the target as cold, because it may have restarted unnoticed: until a health check shows
   /// otherwise, it gets no more requests than a cold target can handle.
   /// @param cause is logged.
-  void doubtWarmth(const char* cause, TimePoint now);
+  void presumeCold(const char* cause, TimePoint now);
   /// @return the known or presumed time until the target is warm; zero if it is, or if the service has no
   /// limit for cold targets.
   Duration coldTime(TimePoint now) const;
@@ -101,7 +101,7 @@
   /// Refuses new requests from that time on, because this sidecar shuts down.
   void closeAt(TimePoint time) { close_at_ = time; }
   /// @return the smoothed run time of a request at the target; zero before the first result.
-  Duration usualRunTime() const { return Duration(static_cast<Duration::rep>(mean_run_time_)); }
+  Duration meanRunTime() const { return Duration(static_cast<Duration::rep>(mean_run_time_)); }
 
   void onTimer(TimePoint now);
   TimePoint nextTimer() const;
@@ -118,7 +118,7 @@
     friend auto operator<=>(const QueueKey&, const QueueKey&) = default;  // NOLINT(modernize-use-nullptr)
   };
   struct QueuedRequest {
-    GateAsker asker;
+    GateRequester requester;
     ForwardRequestPointer request;
     TimePoint arrived_at;
     TimePoint deadline;
@@ -126,11 +126,11 @@
     TimePoint start_by;
   };
   struct RunningRequest {
-    GateAsker asker;
+    GateRequester requester;
     ForwardRequestPointer request;
     TimePoint started;
     TimePoint deadline;
-    /// The target was still warming up when the run began.
+    /// The target was still cold when the run began.
     bool was_cold = false;
     /// The request yielded to others when it began; it counts as a yielding one until it ends.
     bool yields = false;
@@ -172,14 +172,15 @@
   unsigned slotsForYielding(TimePoint now) const;
   bool hasSlotFor(const wire::ForwardRequestT& request, TimePoint now) const;
   void recordObjective(const wire::ForwardRequestT& request, TimePoint now);
-  void start(const GateAsker& asker, const ForwardRequestPointer& request, TimePoint deadline, TimePoint now);
+  void start(const GateRequester& requester, const ForwardRequestPointer& request, TimePoint deadline,
+             TimePoint now);
   void startWaiting(TimePoint now);
   void recordOutcome(const RunningRequest& run, const wire::ForwardReplyT& reply, TimePoint now);
   /// Records a cancelled run as a lower bound of its run time: it would have taken longer than it had so far.
   void recordAbandoned(const RunningRequest& run, TimePoint now);
   void recordRunTime(const RunningRequest& run, TimePoint now);
   void recordEnd(const RunningRequest& run, const wire::ForwardReplyT& reply, TimePoint now);
-  void reply(const GateAsker& asker, wire::ForwardReplyT reply, TimePoint now);
+  void reply(const GateRequester& requester, wire::ForwardReplyT reply, TimePoint now);
   /// Passes the result of a run to the crash detection and the quarantine.
   void reportToWatch(const RunningRequest& run, const RunResult& result, TimePoint now);
   void recordTargetEnd(const std::optional<TargetEnd>& end, TimePoint now);
@@ -216,9 +217,9 @@
   std::optional<TimePoint> yielding_seen_at_;
   /// Offered load of the requests that do not yield to others.
   OfferedLoad non_yielding_load_;
-  TargetWarmth warmth_;
-  /// The incarnation that warmth_ describes.
-  mesh::Incarnation warmth_incarnation_;
+  ColdStartTracker cold_start_;
+  /// The incarnation that cold_start_ describes.
+  mesh::Incarnation cold_start_incarnation_;
   ColdRateLimit cold_limit_;
   /// When the newest heartbeat arrived; unset once the target is presumed cold for lack of one.
   std::optional<TimePoint> last_heartbeat_at_;
--- a/src/sidecar/target_gate_runs.cpp
+++ b/src/sidecar/target_gate_runs.cpp
@@ -34,7 +34,7 @@
 }  // namespace
 
 void TargetGate::recordEnd(const RunningRequest& run, const wire::ForwardReplyT& reply, TimePoint now) {
-  metrics_.noteRun(reply.outcome, now - run.started);
+  metrics_.recordRun(reply.outcome, now - run.started);
   // A request that crashes its targets is not a failure of the version that ran it.
   const bool is_own_fault =
       reply.outcome == wire::ForwardOutcome::Unknown && quarantine_.isSuspect(*run.request);
@@ -58,7 +58,7 @@
 void TargetGate::reportToWatch(const RunningRequest& run, const RunResult& result, TimePoint now) {
   const bool could_not_connect =
       result.reply.outcome == wire::ForwardOutcome::NotRun && !result.reply.reached_target;
-  if (could_not_connect) doubtWarmth("no connection", now);
+  if (could_not_connect) presumeCold("no connection", now);
   if (result.reply.outcome == wire::ForwardOutcome::Unknown) {
     // A target that shuts down ends anyway; its broken connections are no sign of a crash.
     if (target_.condition() != TargetCondition::Leaving) watch_.onBroken(run.request, run.incarnation, now);
@@ -76,7 +76,7 @@
 
 void TargetGate::recordTargetEnd(const std::optional<TargetEnd>& end, TimePoint now) {
   if (!end) return;
-  doubtWarmth("target ended", now);
+  presumeCold("target ended", now);
   quarantine_.onTargetEnded(*end, target_.service(), now);
 }
 
@@ -97,17 +97,17 @@
 void TargetGate::recordAbandoned(const RunningRequest& run, TimePoint now) {
   const auto time = static_cast<double>((now - run.started).count()) / objectiveMicroseconds(*run.request);
   if (time > relative_run_time_) relative_run_time_ = smoothed(relative_run_time_, time);
-  watch_.onGivenUp(run.request, now);
+  watch_.onCancelled(run.request, now);
   // A sender that cancels at the request's deadline timed out, which counts as a failure. Before the
   // deadline, it was its caller that disconnected.
   if (now + kAnswerGrace >= run.deadline)
     samples_.recordCompletion(run.request->route, true, now - run.started, run.was_cold);
-  logEvent(kRunGivenUp, {{"request", run.request->request_id},
-                         {"instance", target_.incarnation().name()},
-                         {"service", run.request->service},
-                         {"took_ms", ceilMilliseconds(now - run.started)},
-                         {"left_ms", ceilMilliseconds(run.deadline - now)},
-                         {"running", running()}});
+  logEvent(kRunCancelled, {{"request", run.request->request_id},
+                           {"instance", target_.incarnation().name()},
+                           {"service", run.request->service},
+                           {"took_ms", ceilMilliseconds(now - run.started)},
+                           {"left_ms", ceilMilliseconds(run.deadline - now)},
+                           {"running", running()}});
 }
 
 }  // namespace cometstand::sidecar
--- a/src/sidecar/target_port.h
+++ b/src/sidecar/target_port.h
@@ -15,7 +15,7 @@
 using ForwardRequestPointer = std::shared_ptr<const wire::ForwardRequestT>;
 
 /// A request to run at the target.
-struct RunOrder {
+struct RunRequest {
   RunId id{};
   ForwardRequestPointer request;
   /// Id that the target must have; a target with another id must not run the request.
@@ -27,8 +27,8 @@
 /// Result of a request at the target.
 struct RunResult {
   wire::ForwardReplyT reply;
-  /// The target rejected the request because it has another id.
-  bool other_instance = false;
+  /// The target refused the request because it has another id.
+  bool instance_mismatch = false;
 };
 
 /// Result of a health check of the target.
@@ -57,9 +57,9 @@
 class TargetPort {
  public:
   virtual ~TargetPort() = default;
-  virtual void run(RunOrder order) = 0;
+  virtual void run(RunRequest order) = 0;
   /// Sends one health check to the target. The result is delivered through SidecarCore::onHealth().
-  virtual void askHealth(const std::string& path) = 0;
+  virtual void requestHealth(const std::string& path) = 0;
   /// Opens a connection to the target and closes it. The outcome is delivered through
   /// SidecarCore::onProbed().
   virtual void probe() = 0;
--- a/src/sidecar/target_state.cpp
+++ b/src/sidecar/target_state.cpp
@@ -16,7 +16,7 @@
   const bool is_increasing =
       older_candidate_.incarnation == beat.incarnation && beat.sequence > older_candidate_.sequence;
   older_candidate_ = {beat.incarnation, beat.sequence};
-  return is_increasing && now >= last_heartbeat_at_ + kSilence;
+  return is_increasing && now >= last_heartbeat_at_ + kHeartbeatTimeout;
 }
 
 bool TargetState::onHeartbeat(const Heartbeat& beat, TimePoint now) {
@@ -42,8 +42,8 @@
   return changed;
 }
 
-bool TargetState::onReadyWhenAsked(const std::string& id, const std::string& service, unsigned slots) {
-  const bool is_applicable = condition_ == TargetCondition::Unheard && !past_.containsId(id);
+bool TargetState::onHealthCheckPassed(const std::string& id, const std::string& service, unsigned slots) {
+  const bool is_applicable = condition_ == TargetCondition::Unknown && !past_.containsId(id);
   if (!is_applicable) return false;
   beat_ = {};
   beat_.incarnation.id = id;
@@ -68,10 +68,10 @@
   return changed;
 }
 
-bool TargetState::onOtherId(const std::string& expected) {
-  if (expected != beat_.incarnation.id || condition_ == TargetCondition::Unheard) return false;
+bool TargetState::onIdMismatch(const std::string& expected) {
+  if (expected != beat_.incarnation.id || condition_ == TargetCondition::Unknown) return false;
   past_.add(beat_.incarnation);
-  condition_ = TargetCondition::Unheard;
+  condition_ = TargetCondition::Unknown;
   return true;
 }
 
--- a/src/sidecar/target_state.h
+++ b/src/sidecar/target_state.h
@@ -11,7 +11,7 @@
 
 enum class TargetCondition : std::uint8_t {
   /// No heartbeat was received and no health check passed yet, or the target answered under another id.
-  Unheard,
+  Unknown,
   Ready,
   /// The target reported that it is draining or was deregistered.
   Leaving,
@@ -39,22 +39,22 @@
 /// Of two incarnations with the same id, the one with the later start time is newer. A clock that was set
 /// back makes a newer incarnation look older. An unknown incarnation with an earlier start time is therefore
 /// accepted, too, once two heartbeats with increasing sequence numbers have arrived from it while the current
-/// one sent none for kSilence. Heartbeats that a network partition delayed do not meet this condition,
-/// because they arrive while the newer incarnation sends its own.
+/// one sent none for kHeartbeatTimeout. Heartbeats that a network partition delayed do not meet this
+/// condition, because they arrive while the newer incarnation sends its own.
 ///
 /// Invariant: an incarnation that reported that it is leaving is never considered ready again.
 class TargetState {
  public:
   /// @return true if anything changed.
   bool onHeartbeat(const Heartbeat& beat, TimePoint now);
-  /// The target passed a health check. Applies only in condition Unheard; any heartbeat overrides it.
+  /// The target passed a health check. Applies only in condition Unknown; any heartbeat overrides it.
   /// @return true if anything changed.
-  bool onReadyWhenAsked(const std::string& id, const std::string& service, unsigned slots);
+  bool onHealthCheckPassed(const std::string& id, const std::string& service, unsigned slots);
   /// The incarnation has ended or is about to end. Without a start time, it matches the current incarnation
   /// if that has the same id. @return true if anything changed.
   bool onDeregistered(const mesh::Incarnation& incarnation, TimePoint now);
-  /// The target rejected a request because its id is not the expected one. @return true if anything changed.
-  bool onOtherId(const std::string& expected);
+  /// The target refused a request because its id is not the expected one. @return true if anything changed.
+  bool onIdMismatch(const std::string& expected);
 
   TargetCondition condition() const { return condition_; }
   const mesh::Incarnation& incarnation() const { return beat_.incarnation; }
@@ -67,13 +67,13 @@
   /// @return end of the target's cold start, during which it is slow.
   TimePoint coldUntil() const { return cold_until_; }
   /// @return number of remembered incarnations, without the current one.
-  std::size_t pastIncarnations() const { return past_.size(); }
+  std::size_t pastIncarnationCount() const { return past_.size(); }
   /// @return when the target's condition became Leaving.
   TimePoint leavingSince() const { return leaving_since_; }
 
   /// Time without heartbeats after which an incarnation counts as silent. Heartbeats are sent about every
   /// 1.5 s, so at least two fall into this time and one of them may be lost.
-  static constexpr Duration kSilence = std::chrono::milliseconds(3'500);
+  static constexpr Duration kHeartbeatTimeout = std::chrono::milliseconds(3'500);
 
  private:
   /// An incarnation whose start time is earlier than that of the current one.
@@ -88,7 +88,7 @@
   bool maySupersede(const Heartbeat& beat, TimePoint now);
 
   Heartbeat beat_;
-  TargetCondition condition_ = TargetCondition::Unheard;
+  TargetCondition condition_ = TargetCondition::Unknown;
   TimePoint cold_until_;
   TimePoint leaving_since_;
   /// When the newest accepted heartbeat arrived.
--- a/src/sidecar/target_watch.cpp
+++ b/src/sidecar/target_watch.cpp
@@ -28,7 +28,7 @@
   suspicion_->broken.push_back(request);
 }
 
-void TargetWatch::onGivenUp(const ForwardRequestPointer& request, TimePoint now) {
+void TargetWatch::onCancelled(const ForwardRequestPointer& request, TimePoint now) {
   while (!cancelled_runs_.empty() && (cancelled_runs_.size() >= kMaxCancelledRuns ||
                                       cancelled_runs_.front().cancelled_at + kCancelledRunRetention < now)) {
     cancelled_runs_.pop_front();
--- a/src/sidecar/target_watch.h
+++ b/src/sidecar/target_watch.h
@@ -41,7 +41,7 @@
   /// A run of the incarnation ended without a response.
   void onBroken(const ForwardRequestPointer& request, const mesh::Incarnation& incarnation, TimePoint now);
   /// A run was cancelled. The target may still be processing it.
-  void onGivenUp(const ForwardRequestPointer& request, TimePoint now);
+  void onCancelled(const ForwardRequestPointer& request, TimePoint now);
   /// The incarnation answered a run that started at the given time.
   void onAnswered(const mesh::Incarnation& incarnation, TimePoint started);
   /// @return the end of the target if the probe outcome confirms it.
--- a/src/sidecar/zone_health.cpp
+++ b/src/sidecar/zone_health.cpp
@@ -22,7 +22,7 @@
 
 void ZoneHealth::noteContact(const std::string& zone, TimePoint now) {
   auto& state = zones_[zone];
-  if (state.is_unresponsive) logEvent(kZoneHeard, {{"zone", zone}});
+  if (state.is_unresponsive) logEvent(kZoneResponsive, {{"zone", zone}});
   state = Zone();
   state.last_contact_at = now;
 }
@@ -38,7 +38,7 @@
   state.is_unresponsive = true;
   state.probe_interval = kInitialProbeInterval;
   state.next_probe_at = failed_at + state.probe_interval;
-  logEvent(kZoneDark, {{"zone", zone}, {"missed", state.failed_hosts.size()}});
+  logEvent(kZoneUnresponsive, {{"zone", zone}, {"missed", state.failed_hosts.size()}});
 }
 
 bool ZoneHealth::isUnresponsive(const std::string& zone) const {
--- a/tests/crowded_stop/crowded_stop_test.cpp
+++ b/tests/crowded_stop/crowded_stop_test.cpp
@@ -32,7 +32,7 @@
   FullLink mesh(seed, kRequesters, kOverload, FullLink::kConnectionWindow);
   mesh.runFor(kLoadTimeBeforeStops);
   for (std::size_t requester = 0; requester < kStops; ++requester) {
-    mesh.stopAsker(requester);
+    mesh.stopRequester(requester);
     mesh.runFor(kStopInterval);
   }
   mesh.runFor(kStopTime);
@@ -40,7 +40,7 @@
     const auto& account = mesh.account(requester);
     INFO("requester " << requester << ": sent " << account.sent << ", answered " << account.answered
                       << ", refused " << account.refused);
-    REQUIRE(mesh.askerHasStopped(requester));
+    REQUIRE(mesh.hasRequesterStopped(requester));
     CHECK(mesh.open(requester) == 0);
     CHECK(account.cut == 0);
     CHECK(account.failed == 0);
--- a/tests/crowded_stop/crowded_stop_with_faults_test.cpp
+++ b/tests/crowded_stop/crowded_stop_with_faults_test.cpp
@@ -26,7 +26,7 @@
 void stopSidecars(FullLink& mesh, const AfterStop& after_stop) {
   mesh.runFor(kLoadTimeBeforeStops);
   for (std::size_t requester = 0; requester < kStops; ++requester) {
-    mesh.stopAsker(requester);
+    mesh.stopRequester(requester);
     mesh.runFor(kStopInterval);
     after_stop(requester);
   }
@@ -38,7 +38,7 @@
   INFO("requester " << requester << ": sent " << account.sent << ", answered " << account.answered
                     << ", refused " << account.refused << ", failed " << account.failed << ", cut "
                     << account.cut);
-  REQUIRE(mesh.askerHasStopped(requester));
+  REQUIRE(mesh.hasRequesterStopped(requester));
   CHECK(mesh.open(requester) == 0);
   CHECK(account.cut == 0);
   CHECK(account.failed == 0);
@@ -51,7 +51,8 @@
   FullLink mesh(seed, kRequesters, kOverload, FullLink::kConnectionWindow);
   stopSidecars(mesh, [&](std::size_t stopped) {
     if (stopped + 1 != kStops / 2) return;
-    for (std::size_t requester = 0; requester < kCutRequesters; ++requester) mesh.cutAsker(requester);
+    for (std::size_t requester = 0; requester < kCutRequesters; ++requester)
+      mesh.disconnectRequester(requester);
   });
   for (std::size_t requester = kCutRequesters; requester < kStops; ++requester)
     checkDelivered(mesh, requester);
@@ -73,7 +74,7 @@
     if (stopped + 1 == kStops / 2) mesh.stopGate();
   });
   REQUIRE(mesh.gateHasStopped());
-  CHECK(mesh.gateStopTime() <= SidecarOptions().stopLimit());
+  CHECK(mesh.gateStopTime() <= SidecarOptions().processExitTime());
   for (std::size_t requester = 0; requester < kStops; ++requester) checkDelivered(mesh, requester);
 }
 
--- a/tests/evacuation/zone_mesh.cpp
+++ b/tests/evacuation/zone_mesh.cpp
@@ -104,7 +104,7 @@
   });
 }
 
-void ZoneMesh::Machine::run(sidecar::RunOrder order) {
+void ZoneMesh::Machine::run(sidecar::RunRequest order) {
   running.insert(order.id);
   mesh->run_starts_[zone].push_back(mesh->network.now());
   mesh->network.at(mesh->network.now() + mesh->run_time, [this, run = order.id] {
--- a/tests/planned_stop/full_link.cpp
+++ b/tests/planned_stop/full_link.cpp
@@ -76,15 +76,15 @@
   begun_.erase(id);
 }
 
-FullLink::FullLink(std::uint64_t seed, std::size_t askers, double load, std::size_t connection_window)
+FullLink::FullLink(std::uint64_t seed, std::size_t requesters, double load, std::size_t connection_window)
     : random_(seed), load_(load), connection_window_(connection_window), gate_(makeGateOptions()) {
   setLogLevel(LogLevel::Error);
   gate_.configure(1, makeSlowConfiguration());
-  for (std::size_t i = 0; i < askers; ++i) {
-    auto& asker = *askers_.emplace_back(std::make_unique<Asker>());
-    asker.sidecar = std::make_unique<SidecarFixture>(makeStreamingOptions(), asker.callers);
-    asker.sidecar->configure(1, makeSlowConfiguration());
-    asker.sidecar->addPeer(SidecarFixture::kPeer);
+  for (std::size_t i = 0; i < requesters; ++i) {
+    auto& requester = *requesters_.emplace_back(std::make_unique<Requester>());
+    requester.sidecar = std::make_unique<SidecarFixture>(makeStreamingOptions(), requester.callers);
+    requester.sidecar->configure(1, makeSlowConfiguration());
+    requester.sidecar->addPeer(SidecarFixture::kPeer);
     gate_.core.onLinkOpened(linkOf(i), {}, gate_.now);
   }
   now_ = gate_.now;
@@ -96,45 +96,45 @@
   wire::StoreBeatT from_store;
   from_store.is_current = true;
   from_store.revision = 1;
-  for (auto& asker : askers_) {
-    if (!asker->gone) asker->sidecar->say(SidecarFixture::kStore, from_store);
+  for (auto& requester : requesters_) {
+    if (!requester->gone) requester->sidecar->deliver(SidecarFixture::kStore, from_store);
   }
   if (gate_gone_ || isGatePaused()) return;
-  gate_.say(SidecarFixture::kStore, from_store);
-  auto from_target = SidecarFixture::makeBeat("a", ++beats_);
+  gate_.deliver(SidecarFixture::kStore, from_store);
+  auto from_target = SidecarFixture::makeHeartbeat("a", ++beats_);
   from_target.slots = kSlots;
   gate_.core.onHeartbeat(from_target, now_);
 }
 
-runtime::LinkId FullLink::linkOf(std::size_t asker) const {
-  const std::uint64_t connection = asker < askers_.size() ? askers_[asker]->connection : 0;
-  return runtime::LinkId{runtime::kFirstIncomingLink + connection * askers_.size() + asker};
+runtime::LinkId FullLink::linkOf(std::size_t requester) const {
+  const std::uint64_t connection = requester < requesters_.size() ? requesters_[requester]->connection : 0;
+  return runtime::LinkId{runtime::kFirstIncomingLink + connection * requesters_.size() + requester};
 }
 
-void FullLink::cutAsker(std::size_t asker) { askers_.at(asker)->is_cut = true; }
+void FullLink::disconnectRequester(std::size_t requester) { requesters_.at(requester)->is_cut = true; }
 
 void FullLink::resetLink(std::size_t index) {
-  auto& asker = *askers_.at(index);
-  if (asker.gone || gate_gone_) return;
+  auto& requester = *requesters_.at(index);
+  if (requester.gone || gate_gone_) return;
   gate_.core.onLinkClosed(linkOf(index), now_);
-  asker.queued.clear();
-  asker.under_way = 0;
-  ++asker.connection;
+  requester.queued.clear();
+  requester.under_way = 0;
+  ++requester.connection;
   gate_.core.onLinkOpened(linkOf(index), {}, now_);
-  auto& sidecar = *asker.sidecar;
+  auto& sidecar = *requester.sidecar;
   sidecar.core.onLinkClosed(sidecar.links.at(SidecarFixture::kPeer), now_);
   sidecar.step();
 }
 
 /// What was sent to a machine that is cut off has no answer.
 void FullLink::endUnansweredLinks() {
-  for (std::size_t i = 0; i < askers_.size(); ++i) {
-    auto& asker = *askers_[i];
-    if (!asker.is_cut || asker.gone) continue;
-    if (!asker.unanswered_since && asker.under_way > 0) asker.unanswered_since = now_;
-    if (!asker.unanswered_since || now_ < *asker.unanswered_since + kUnansweredTime) continue;
-    asker.gone = true;
-    asker.queued.clear();
+  for (std::size_t i = 0; i < requesters_.size(); ++i) {
+    auto& requester = *requesters_[i];
+    if (!requester.is_cut || requester.gone) continue;
+    if (!requester.unanswered_since && requester.under_way > 0) requester.unanswered_since = now_;
+    if (!requester.unanswered_since || now_ < *requester.unanswered_since + kUnansweredTime) continue;
+    requester.gone = true;
+    requester.queued.clear();
     if (!gate_gone_) gate_.core.onLinkClosed(linkOf(i), now_);
   }
 }
@@ -157,7 +157,9 @@
   for (const TimePoint end = now_ + time; now_ < end;) tick();
 }
 
-void FullLink::stopAsker(std::size_t asker) { askers_.at(asker)->sidecar->core.beginStop(now_); }
+void FullLink::stopRequester(std::size_t requester) {
+  requesters_.at(requester)->sidecar->core.beginStop(now_);
+}
 
 void FullLink::stopGate() {
   gate_stop_began_ = now_;
@@ -169,9 +171,9 @@
   gate_.now = now_;
   resumeGate();
   if (!gate_gone_ && !isGatePaused()) gate_.core.onTimer(now_);
-  for (auto& asker : askers_) {
-    asker->sidecar->now = now_;
-    if (!asker->gone) asker->sidecar->core.onTimer(now_);
+  for (auto& requester : requesters_) {
+    requester->sidecar->now = now_;
+    if (!requester->gone) requester->sidecar->core.onTimer(now_);
   }
   if (now_ >= next_beat_) beat();
   endUnansweredLinks();
@@ -190,29 +192,29 @@
   while (bytes_due_ > 0) {
     const auto bytes = static_cast<std::size_t>(random_.uniform(kSmallestAnswer, kLargestAnswer));
     bytes_due_ -= static_cast<double>(bytes);
-    auto& asker = *askers_.at(random_.uniform(0, askers_.size() - 1));
-    if (asker.gone || asker.is_cut) continue;
+    auto& requester = *requesters_.at(random_.uniform(0, requesters_.size() - 1));
+    if (requester.gone || requester.is_cut) continue;
     Call call;
     call.host = "shop.example";
     call.request.target = pathOf(bytes);
     call.request.method = "GET";
-    call.takes_parts = true;
+    call.accepts_streaming = true;
     const CallId id{++next_call_};
     call.request.request_id = std::to_string(next_call_);
-    asker.callers.expected_bytes[id] = bytes;
-    ++asker.callers.account.sent;
-    asker.sidecar->core.onCall(id, std::move(call), now_);
+    requester.callers.expected_bytes[id] = bytes;
+    ++requester.callers.account.sent;
+    requester.sidecar->core.onCall(id, std::move(call), now_);
   }
 }
 
 void FullLink::carryRequests() {
-  for (std::size_t i = 0; i < askers_.size(); ++i) {
-    auto& sidecar = *askers_[i]->sidecar;
-    if (askers_[i]->gone) continue;
+  for (std::size_t i = 0; i < requesters_.size(); ++i) {
+    auto& sidecar = *requesters_[i]->sidecar;
+    if (requesters_[i]->gone) continue;
     sidecar.step();
     const auto link = sidecar.links.at(SidecarFixture::kPeer);
     for (const auto& item : std::exchange(sidecar.sent, {})) {
-      if (item.link == link && !askers_[i]->is_cut) sayToGate(linkOf(i), item.message);
+      if (item.link == link && !requesters_[i]->is_cut) sayToGate(linkOf(i), item.message);
     }
   }
 }
@@ -221,9 +223,9 @@
   gate_.step();
   for (const auto& order : std::exchange(gate_.target.orders, {})) {
     runs_.push_back({now_ + kRunTime, order.id, bytesOf(order.request->target)});
-    for (auto& asker : askers_) {
+    for (auto& requester : requesters_) {
       const CallId id{std::stoull(order.request->request_id)};
-      if (asker->callers.expected_bytes.contains(id)) asker->callers.ran[id] = true;
+      if (requester->callers.expected_bytes.contains(id)) requester->callers.ran[id] = true;
     }
   }
 }
@@ -240,32 +242,32 @@
   gate_.step();
   for (const auto& item : std::exchange(gate_.sent, {})) {
     const auto link = static_cast<std::uint64_t>(item.link);
-    if (const auto* update = item.message->body.AsEndpointUpdate()) tellAskers(*update);
+    if (const auto* update = item.message->body.AsEndpointUpdate()) tellRequesters(*update);
     if (link < runtime::kFirstIncomingLink) continue;
-    const std::size_t asker = (link - runtime::kFirstIncomingLink) % askers_.size();
-    if (item.link != linkOf(asker)) continue;
-    askers_.at(asker)->queued.push_back(item.message);
-    pump(asker);
+    const std::size_t requester = (link - runtime::kFirstIncomingLink) % requesters_.size();
+    if (item.link != linkOf(requester)) continue;
+    requesters_.at(requester)->queued.push_back(item.message);
+    pump(requester);
   }
 }
 
 void FullLink::pump(std::size_t index) {
-  auto& asker = *askers_.at(index);
-  while (!asker.queued.empty() && asker.under_way < connection_window_) {
-    const auto message = std::move(asker.queued.front());
-    asker.queued.pop_front();
+  auto& requester = *requesters_.at(index);
+  while (!requester.queued.empty() && requester.under_way < connection_window_) {
+    const auto message = std::move(requester.queued.front());
+    requester.queued.pop_front();
     const std::size_t bytes = net::encodeFrame(*message).size();
     const std::chrono::duration<double> time(static_cast<double>(bytes) / kBytesPerSecond);
     link_free_at_ = std::max(link_free_at_, now_) + std::chrono::duration_cast<Duration>(time);
-    asker.under_way += bytes;
-    answers_.push_back({link_free_at_, index, asker.connection, bytes, message});
+    requester.under_way += bytes;
+    answers_.push_back({link_free_at_, index, requester.connection, bytes, message});
   }
 }
 
 /// The store passes on at once what the gate says of its endpoint.
-void FullLink::tellAskers(const wire::EndpointUpdateT& update) {
-  for (auto& asker : askers_) {
-    if (!asker->gone) asker->sidecar->say(SidecarFixture::kStore, update);
+void FullLink::tellRequesters(const wire::EndpointUpdateT& update) {
+  for (auto& requester : requesters_) {
+    if (!requester->gone) requester->sidecar->deliver(SidecarFixture::kStore, update);
   }
 }
 
@@ -273,28 +275,29 @@
   while (!answers_.empty() && answers_.front().arrives <= now_) {
     const Frame frame = std::move(answers_.front());
     answers_.pop_front();
-    auto& asker = *askers_.at(frame.asker);
-    if (asker.is_cut || frame.connection != asker.connection) continue;
-    if (!asker.gone) {
-      asker.sidecar->core.onMessage(asker.sidecar->links.at(SidecarFixture::kPeer), *frame.message, now_);
+    auto& requester = *requesters_.at(frame.requester);
+    if (requester.is_cut || frame.connection != requester.connection) continue;
+    if (!requester.gone) {
+      requester.sidecar->core.onMessage(requester.sidecar->links.at(SidecarFixture::kPeer), *frame.message,
+                                        now_);
     }
-    asker.under_way -= frame.bytes;
-    pump(frame.asker);
+    requester.under_way -= frame.bytes;
+    pump(frame.requester);
   }
 }
 
 void FullLink::readAnswers() {
-  for (auto& asker : askers_) {
-    for (const auto& [id, bytes] : asker->callers.takeRead())
-      asker->sidecar->core.onCallerRead(id, bytes, now_);
+  for (auto& requester : requesters_) {
+    for (const auto& [id, bytes] : requester->callers.takeRead())
+      requester->sidecar->core.onCallerRead(id, bytes, now_);
   }
 }
 
 /// A sidecar that is gone closes its links.
 void FullLink::noteEnds() {
-  for (std::size_t i = 0; i < askers_.size(); ++i) {
-    if (askers_[i]->gone || askers_[i]->is_cut || !askers_[i]->sidecar->core.stopped()) continue;
-    askers_[i]->gone = true;
+  for (std::size_t i = 0; i < requesters_.size(); ++i) {
+    if (requesters_[i]->gone || requesters_[i]->is_cut || !requesters_[i]->sidecar->core.stopped()) continue;
+    requesters_[i]->gone = true;
     gate_.core.onLinkClosed(linkOf(i), now_);
   }
   // What was sent before is still on its way.
@@ -306,9 +309,9 @@
 }
 
 void FullLink::endGateLinks() {
-  for (auto& asker : askers_) {
-    if (asker->gone) continue;
-    auto& sidecar = *asker->sidecar;
+  for (auto& requester : requesters_) {
+    if (requester->gone) continue;
+    auto& sidecar = *requester->sidecar;
     sidecar.core.onLinkClosed(sidecar.links.at(SidecarFixture::kPeer), now_);
   }
 }
--- a/tests/planned_stop/full_link.h
+++ b/tests/planned_stop/full_link.h
@@ -42,7 +42,7 @@
   std::vector<std::pair<CallId, std::size_t>> read_;
 };
 
-/// The gate and its askers, the product's own classes, with a modelled link of kBytesPerSecond out of the
+/// The gate and its requesters, the product's own classes, with a modelled link of kBytesPerSecond out of the
 /// gate's machine, on which messages pass in the order in which they are sent. All other ways are free. The
 /// target answers each request after kRunTime with a body whose size is drawn.
 class FullLink {
@@ -59,34 +59,38 @@
 
   /// @param load bytes asked for, as a share of what the link brings.
   /// @param connection_window bytes that one connection may have under way: they share the link by it.
-  FullLink(std::uint64_t seed, std::size_t askers, double load, std::size_t connection_window = SIZE_MAX);
+  FullLink(std::uint64_t seed, std::size_t requesters, double load, std::size_t connection_window = SIZE_MAX);
 
   void runFor(Duration time);
-  void stopAsker(std::size_t asker);
+  void stopRequester(std::size_t requester);
   void stopGate();
-  /// The asker's machine is cut off for good: nothing comes or goes, and its callers ask nothing. The gate's
-  /// link to it ends once sent bytes have had no answer for kUnansweredTime.
-  void cutAsker(std::size_t asker);
+  /// The requester's machine is cut off for good: nothing comes or goes, and its callers ask nothing. The
+  /// gate's link to it ends once sent bytes have had no answer for kUnansweredTime.
+  void disconnectRequester(std::size_t requester);
   /// The gate's process stands still; its link goes on with what it has.
   void pauseGate(Duration time) { gate_paused_until_ = now_ + time; }
-  /// The connection between the asker and the gate is reset, and opened again at once. What was under way is
-  /// lost.
-  void resetLink(std::size_t asker);
+  /// The connection between the requester and the gate is reset, and opened again at once. What was under way
+  /// is lost.
+  void resetLink(std::size_t requester);
   /// @return true once the sidecar's stop is over; it does nothing any more.
-  bool askerHasStopped(std::size_t asker) const { return askers_.at(asker)->gone; }
+  bool hasRequesterStopped(std::size_t requester) const { return requesters_.at(requester)->gone; }
   bool gateHasStopped() const { return gate_gone_; }
   /// @return from the beginning of the gate's stop to the arrival of the last that it sent.
   Duration gateStopTime() const { return gate_ended_at_ - gate_stop_began_; }
-  /// Requests of the asker's callers that have no answer; of a sidecar that is gone, they never get one.
-  std::size_t open(std::size_t asker) const { return askers_.at(asker)->sidecar->core.callsInFlight(); }
-  const CallerAccount& account(std::size_t asker) const { return askers_.at(asker)->callers.account; }
-  std::size_t askers() const { return askers_.size(); }
+  /// Requests of the requester's callers that have no answer; of a sidecar that is gone, they never get one.
+  std::size_t open(std::size_t requester) const {
+    return requesters_.at(requester)->sidecar->core.callsInFlight();
+  }
+  const CallerAccount& account(std::size_t requester) const {
+    return requesters_.at(requester)->callers.account;
+  }
+  std::size_t requesters() const { return requesters_.size(); }
 
  private:
   struct Frame {
     TimePoint arrives;
-    std::size_t asker = 0;
-    /// Of the asker's connection.
+    std::size_t requester = 0;
+    /// Of the requester's connection.
     std::uint64_t connection = 0;
     std::size_t bytes = 0;
     runtime::MessagePointer message;
@@ -96,7 +100,7 @@
     RunId id;
     std::size_t bytes = 0;
   };
-  struct Asker {
+  struct Requester {
     /// Messages to it that its connection has not taken, and bytes that it has under way.
     std::deque<runtime::MessagePointer> queued;
     std::size_t under_way = 0;
@@ -110,7 +114,7 @@
     std::uint64_t connection = 0;
   };
 
-  runtime::LinkId linkOf(std::size_t asker) const;
+  runtime::LinkId linkOf(std::size_t requester) const;
   bool isGatePaused() const { return now_ < gate_paused_until_; }
   void tick();
   void resumeGate();
@@ -123,10 +127,10 @@
   void carryAnswers();
   void startRuns();
   void endRuns();
-  void tellAskers(const wire::EndpointUpdateT& update);
+  void tellRequesters(const wire::EndpointUpdateT& update);
   void readAnswers();
   /// Hands queued messages to the link as far as the connection takes them.
-  void pump(std::size_t asker);
+  void pump(std::size_t requester);
   void noteEnds();
   /// The links of a gate that is gone end behind what was sent on them.
   void endGateLinks();
@@ -134,7 +138,7 @@
   RandomSource random_;
   double load_;
   std::size_t connection_window_;
-  std::vector<std::unique_ptr<Asker>> askers_;
+  std::vector<std::unique_ptr<Requester>> requesters_;
   SidecarFixture gate_;
   bool gate_gone_ = false;
   bool gate_links_ended_ = false;
--- a/tests/platform/formats_test.cpp
+++ b/tests/platform/formats_test.cpp
@@ -193,7 +193,7 @@
   CHECK(call.host == "h.example");
   CHECK(call.deadline == std::chrono::milliseconds(1'500));
   call.request.caller_service = "desk";
-  sidecar::RunOrder order;
+  sidecar::RunRequest order;
   order.request = std::make_shared<wire::ForwardRequestT>(call.request);
   order.instance = "i-1";
   order.time_left = std::chrono::milliseconds(900);
@@ -218,7 +218,7 @@
   auto call = readCall(std::move(request), true);
   CHECK(call.key == mesh::digestOfKey("secret-key"));
   call.request.tenant = "true-one";
-  sidecar::RunOrder order;
+  sidecar::RunRequest order;
   order.request = std::make_shared<wire::ForwardRequestT>(call.request);
   const auto sent = makeTargetRequest(order);
   CHECK(sent.count("Authorization") == 0);
@@ -318,7 +318,7 @@
   CHECK(readRunResult(result).reply.outcome == wire::ForwardOutcome::NotRun);
   CHECK(readRunResult(result).reply.reached_target);
   result.response.result(421);
-  CHECK(readRunResult(result).other_instance);
+  CHECK(readRunResult(result).instance_mismatch);
   result.outcome = web::SendOutcome::Broken;
   CHECK(readRunResult(result).reply.outcome == wire::ForwardOutcome::Unknown);
   result.outcome = web::SendOutcome::NotSent;
--- a/tests/quarantine/crash_mesh.cpp
+++ b/tests/quarantine/crash_mesh.cpp
@@ -168,7 +168,7 @@
   });
 }
 
-void CrashMesh::Machine::run(sidecar::RunOrder order) {
+void CrashMesh::Machine::run(sidecar::RunRequest order) {
   const auto& path = order.request->target;
   running[order.id] = {path};
   if (!is_up || order.instance != instance) {
--- a/tests/quarantine/crash_mesh.h
+++ b/tests/quarantine/crash_mesh.h
@@ -91,8 +91,8 @@
     std::map<sidecar::RunId, Run> running;
     std::map<sidecar::CallId, std::string> calls;
 
-    void run(sidecar::RunOrder order) override;
-    void askHealth(const std::string& /*path*/) override {}
+    void run(sidecar::RunRequest order) override;
+    void requestHealth(const std::string& /*path*/) override {}
     void probe() override;
     void cancel(sidecar::RunId run) override { running.erase(run); }
     void answer(sidecar::CallId id, sidecar::CallAnswer answer) override;
--- a/tests/quota/quota_mesh.cpp
+++ b/tests/quota/quota_mesh.cpp
@@ -185,7 +185,7 @@
   return most;
 }
 
-void QuotaMesh::Machine::run(sidecar::RunOrder order) {
+void QuotaMesh::Machine::run(sidecar::RunRequest order) {
   running.insert(order.id);
   const std::uint64_t call = std::stoull(order.request->request_id);
   mesh->ran_.insert(call);
--- a/tests/quota/quota_mesh.h
+++ b/tests/quota/quota_mesh.h
@@ -76,8 +76,8 @@
     std::uint64_t sequence = 0;
     std::set<sidecar::RunId> running;
 
-    void run(sidecar::RunOrder order) override;
-    void askHealth(const std::string& /*path*/) override {}
+    void run(sidecar::RunRequest order) override;
+    void requestHealth(const std::string& /*path*/) override {}
     void probe() override {}
     void cancel(sidecar::RunId run) override { running.erase(run); }
     void answer(sidecar::CallId id, sidecar::CallAnswer answer) override;
--- a/tests/regions/region_mesh.cpp
+++ b/tests/regions/region_mesh.cpp
@@ -134,7 +134,7 @@
   });
 }
 
-void RegionMesh::Machine::run(sidecar::RunOrder order) {
+void RegionMesh::Machine::run(sidecar::RunRequest order) {
   running.insert(order.id);
   const bool is_large = order.request->target.starts_with("/large/");
   if (order.request->target.starts_with("/kept/")) {
--- a/tests/regions/region_mesh.h
+++ b/tests/regions/region_mesh.h
@@ -83,8 +83,8 @@
     std::set<sidecar::RunId> running;
     std::map<sidecar::CallId, std::string> calls;
 
-    void run(sidecar::RunOrder order) override;
-    void askHealth(const std::string& /*path*/) override {}
+    void run(sidecar::RunRequest order) override;
+    void requestHealth(const std::string& /*path*/) override {}
     void probe() override {}
     void cancel(sidecar::RunId run) override { running.erase(run); }
     void answer(sidecar::CallId call, sidecar::CallAnswer answer) override;
--- a/tests/rollout/rollout_mesh.cpp
+++ b/tests/rollout/rollout_mesh.cpp
@@ -193,7 +193,7 @@
   return is_time && is_load && is_route;
 }
 
-void RolloutMesh::Machine::run(sidecar::RunOrder order) {
+void RolloutMesh::Machine::run(sidecar::RunRequest order) {
   running.insert(order.id);
   mesh->noteBegun(*this);
   const bool is_poor = mesh->isPoor(*this, *order.request);
--- a/tests/sidecar/answers_on_narrow_link_test.cpp
+++ b/tests/sidecar/answers_on_narrow_link_test.cpp
@@ -26,7 +26,7 @@
     client_.configure();
     client_.addPeer(SidecarFixture::kPeer);
     server_.configure();
-    auto beat = SidecarFixture::makeBeat("a", 1);
+    auto beat = SidecarFixture::makeHeartbeat("a", 1);
     beat.slots = 100;
     server_.core.onHeartbeat(beat, server_.now);
     server_.step();
--- a/tests/sidecar/body_intake_test.cpp
+++ b/tests/sidecar/body_intake_test.cpp
@@ -1,4 +1,4 @@
-// Large request bodies that are received by credit: limits, rejections and the latency of urgent messages.
+// Large request bodies that are received by credit: limits, refusals and the latency of urgent messages.
 #include "sidecar/body_intake.h"
 
 #include <algorithm>
@@ -18,7 +18,7 @@
  public:
   IntakeFixture() : intake(credit, makeListener()) {}
 
-  static GateAsker askerOf(std::uint64_t sender) { return {runtime::LinkId{sender}, sender}; }
+  static GateRequester requesterOf(std::uint64_t sender) { return {runtime::LinkId{sender}, sender}; }
 
   void announce(std::uint64_t sender, std::uint32_t bytes, std::uint32_t patience_ms = 400,
                 std::uint32_t deadline_ms = 5'000) {
@@ -26,13 +26,13 @@
     request->announced_bytes = bytes;
     request->patience_ms = patience_ms;
     request->deadline_ms = deadline_ms;
-    intake.announce(askerOf(sender), std::move(request), now);
+    intake.announce(requesterOf(sender), std::move(request), now);
   }
 
   /// Sends the granted bytes of one sender.
   void sendGranted(std::uint64_t sender) {
     const std::uint32_t bytes = std::exchange(granted[sender], 0);
-    intake.onPart(askerOf(sender), std::vector<std::uint8_t>(bytes, 'x'), now);
+    intake.onPart(requesterOf(sender), std::vector<std::uint8_t>(bytes, 'x'), now);
   }
 
   std::uint32_t allGranted() const {
@@ -43,15 +43,16 @@
 
   BodyIntake::Listener makeListener() {
     BodyIntake::Listener listener;
-    listener.grant = [this](const GateAsker& asker, std::uint32_t bytes) {
-      granted[asker.request_id] += bytes;
-      grants.push_back({asker.request_id, bytes});
+    listener.grant = [this](const GateRequester& requester, std::uint32_t bytes) {
+      granted[requester.request_id] += bytes;
+      grants.push_back({requester.request_id, bytes});
     };
-    listener.whole = [this](const GateAsker& asker, const std::shared_ptr<wire::ForwardRequestT>& request) {
-      whole[asker.request_id] = request;
+    listener.whole = [this](const GateRequester& requester,
+                            const std::shared_ptr<wire::ForwardRequestT>& request) {
+      whole[requester.request_id] = request;
     };
-    listener.refuse = [this](const GateAsker& asker, const wire::ForwardRequestT& /*request*/,
-                             wire::NotRunReason reason) { rejected[asker.request_id] = reason; };
+    listener.refuse = [this](const GateRequester& requester, const wire::ForwardRequestT& /*request*/,
+                             wire::NotRunReason reason) { rejected[requester.request_id] = reason; };
     return listener;
   }
 
@@ -89,8 +90,8 @@
       fixture.grants.pop_front();
       fixture.now +=
           std::chrono::duration_cast<Duration>(std::chrono::duration<double>(next.bytes / kBytesPerSecond));
-      fixture.intake.onPart(IntakeFixture::askerOf(next.sender), std::vector<std::uint8_t>(next.bytes, 'x'),
-                            fixture.now);
+      fixture.intake.onPart(IntakeFixture::requesterOf(next.sender),
+                            std::vector<std::uint8_t>(next.bytes, 'x'), fixture.now);
     }
     fixture.intake.onTimer(fixture.now);
   }
@@ -131,7 +132,8 @@
   CHECK(longest < milliseconds(60));
 }
 
-TEST_CASE("a body that cannot start within its queue time is rejected before any byte of it is sent") {
+TEST_CASE(
+    "a request whose body cannot start within its queue time is refused before any byte of it is sent") {
   IntakeFixture fixture;
   for (std::uint64_t sender = 1; sender <= 30; ++sender) fixture.announce(sender, 60'000, 400);
   CHECK(fixture.rejected.contains(30));
@@ -142,7 +144,7 @@
   for (const auto& [sender, reason] : fixture.rejected) CHECK_FALSE(fixture.whole.contains(sender));
 }
 
-TEST_CASE("a stalled sender does not delay others, and its request is rejected at its deadline") {
+TEST_CASE("a stalled sender does not delay others, and its request is refused at its deadline") {
   IntakeFixture fixture;
   fixture.announce(1, 1'000'000, 400, 1'000);
   fixture.announce(2, 30'000, 2'000);
@@ -164,7 +166,7 @@
   IntakeFixture fixture;
   fixture.announce(1, 500'000, 5'000);
   fixture.announce(2, 30'000, 5'000);
-  SECTION("cancelled") { fixture.intake.cancel(IntakeFixture::askerOf(1), fixture.now); }
+  SECTION("cancelled") { fixture.intake.cancel(IntakeFixture::requesterOf(1), fixture.now); }
   SECTION("link closed") { fixture.intake.cancelLink(runtime::LinkId{1}, fixture.now); }
   CHECK(fixture.granted[2] > 0);
   fixture.sendGranted(1);
@@ -172,11 +174,11 @@
   CHECK(fixture.intake.size() == 1);
 }
 
-TEST_CASE("when the target leaves, started bodies continue and others are rejected") {
+TEST_CASE("when the target leaves, started bodies continue and other requests are refused") {
   IntakeFixture fixture;
   fixture.announce(1, 500'000, 5'000);
   fixture.announce(2, 30'000, 5'000);
-  fixture.intake.refuseUnbegun(wire::NotRunReason::Leaving, fixture.now);
+  fixture.intake.refuseUnstarted(wire::NotRunReason::Leaving, fixture.now);
   CHECK(fixture.rejected.size() == 1);
   CHECK(fixture.rejected.at(2) == wire::NotRunReason::Leaving);
   CHECK(fixture.intake.size() == 1);
@@ -186,7 +188,8 @@
   IntakeFixture fixture;
   fixture.announce(1, 60'000);
   const std::uint32_t granted = fixture.granted[1];
-  fixture.intake.onPart(IntakeFixture::askerOf(1), std::vector<std::uint8_t>(granted + 1, 'x'), fixture.now);
+  fixture.intake.onPart(IntakeFixture::requesterOf(1), std::vector<std::uint8_t>(granted + 1, 'x'),
+                        fixture.now);
   CHECK(fixture.intake.size() == 1);
   fixture.sendGranted(1);
   CHECK_FALSE(fixture.whole.contains(1));
--- a/tests/sidecar/cold_gate_test.cpp
+++ b/tests/sidecar/cold_gate_test.cpp
@@ -14,14 +14,14 @@
 class ColdGateFixture {
  public:
   ColdGateFixture()
-      : gate(options, target, quarantine, [this](const GateAsker& asker, wire::ForwardReplyT reply) {
-          replies[asker.request_id] = std::move(reply);
+      : gate(options, target, quarantine, [this](const GateRequester& requester, wire::ForwardReplyT reply) {
+          replies[requester.request_id] = std::move(reply);
         }) {
     gate.setColdStart({kRate, seconds(3)}, now);
   }
 
   void beat(const std::string& instance, std::uint64_t sequence, Duration cold) {
-    auto beat = SidecarFixture::makeBeat(instance, sequence);
+    auto beat = SidecarFixture::makeHeartbeat(instance, sequence);
     beat.slots = 18;
     beat.cold_remaining = cold;
     gate.target().onHeartbeat(beat, now);
@@ -178,21 +178,21 @@
 }
 
 TEST_CASE_METHOD(ColdGateFixture, "a target whose first health response gives no cold time counts as cold") {
-  gate.target().onReadyWhenAsked("a", "shop", 18);
+  gate.target().onHealthCheckPassed("a", "shop", 18);
   gate.onHealth({true, "a", 18, std::nullopt}, now);
   CHECK(gate.coldTime(now) == seconds(3));
 }
 
 TEST_CASE_METHOD(ColdGateFixture,
                  "the first health response after the start of a sidecar gives the cold time of its target") {
-  gate.target().onReadyWhenAsked("a", "shop", 18);
+  gate.target().onHealthCheckPassed("a", "shop", 18);
   gate.onHealth({true, "a", 18, milliseconds(700)}, now);
   CHECK(gate.coldTime(now) == milliseconds(720));
 }
 
 TEST_CASE_METHOD(ColdGateFixture,
                  "a target that shuts down or is unknown does not count as cold and gets no health check") {
-  gate.doubtWarmth("test", now);
+  gate.presumeCold("test", now);
   CHECK(gate.coldTime(now) == Duration::zero());
   beat("a", 1, Duration::zero());
   gate.target().onDeregistered({"a"}, now);
@@ -204,7 +204,7 @@
   gate.setColdStart({}, now);
   beat("a", 1, seconds(3));
   CHECK(offerOverload(seconds(1)) > 120);
-  gate.doubtWarmth("test", now);
+  gate.presumeCold("test", now);
   CHECK_FALSE(gate.startHealthCheckIfDue(now));
   CHECK(gate.coldTime(now) == Duration::zero());
 }
@@ -256,14 +256,14 @@
         : fleet(owner),
           name("t" + std::to_string(index)),
           gate(fleet.options_, *this, fleet.quarantine_,
-               [](const GateAsker& /*asker*/, const wire::ForwardReplyT& /*reply*/) {}) {}
+               [](const GateRequester& /*requester*/, const wire::ForwardReplyT& /*reply*/) {}) {}
 
-    void run(RunOrder order) override {
+    void run(RunRequest order) override {
       const bool is_cold = fleet.now_ < cold_until;
       if (is_up) arrivals.push_back(fleet.now_);
       runs[order.id] = is_up ? fleet.now_ + kWarmRun * (is_cold ? 2 : 1) : fleet.now_;
     }
-    void askHealth(const std::string& /*path*/) override {}
+    void requestHealth(const std::string& /*path*/) override {}
     void probe() override { probed = true; }
     void cancel(RunId id) override { runs.erase(id); }
 
@@ -292,8 +292,8 @@
   }
 
   void beat(Machine& machine) {
-    Heartbeat beat = SidecarFixture::makeBeat(machine.name + "." + std::to_string(machine.incarnation),
-                                              ++machine.sequence);
+    Heartbeat beat = SidecarFixture::makeHeartbeat(machine.name + "." + std::to_string(machine.incarnation),
+                                                   ++machine.sequence);
     beat.slots = kSlots;
     beat.cold_remaining = std::max(Duration::zero(), machine.cold_until - now_);
     machine.beat_at = now_ + milliseconds(1'500);
--- a/tests/sidecar/cold_sidecar_test.cpp
+++ b/tests/sidecar/cold_sidecar_test.cpp
@@ -15,7 +15,7 @@
 }
 
 Heartbeat makeColdHeartbeat(const std::string& instance, std::uint64_t sequence, Duration cold) {
-  auto beat = SidecarFixture::makeBeat(instance, sequence);
+  auto beat = SidecarFixture::makeHeartbeat(instance, sequence);
   beat.cold_remaining = cold;
   return beat;
 }
@@ -54,7 +54,7 @@
   sidecar.step();
   CHECK(newestReportedRecord(sidecar)->cold_ms == 2'020);
   // The end of the cold time is reported, too.
-  sidecar.pass(milliseconds(2'600));
+  sidecar.advance(milliseconds(2'600));
   CHECK(newestReportedRecord(sidecar)->cold_ms == 0);
 }
 
@@ -62,13 +62,13 @@
   SidecarFixture sidecar;
   sidecar.configure(1, makeColdLimitConfiguration());
   sidecar.core.onHeartbeat(makeColdHeartbeat("a", 1, Duration::zero()), sidecar.now);
-  sidecar.pass(seconds(1));
-  sidecar.target.asked.clear();
+  sidecar.advance(seconds(1));
+  sidecar.target.health_checks.clear();
   sidecar.now += seconds(3);
   sidecar.core.onTimer(sidecar.now);
   CHECK(sidecar.core.targetColdTime() == seconds(3));
-  REQUIRE(sidecar.target.asked.size() == 1);
-  CHECK(sidecar.target.asked.front() == "/health");
+  REQUIRE(sidecar.target.health_checks.size() == 1);
+  CHECK(sidecar.target.health_checks.front() == "/health");
   sidecar.core.onHealth({true, "a", 2, Duration::zero()}, sidecar.now);
   CHECK(sidecar.core.targetColdTime() == Duration::zero());
 }
@@ -77,20 +77,20 @@
   SidecarFixture sidecar;
   sidecar.configure(1, makeColdLimitConfiguration());
   sidecar.core.onHeartbeat(makeColdHeartbeat("a", 1, Duration::zero()), sidecar.now);
-  sidecar.say(SidecarFixture::kStore, makeEvacuation(1, true));
-  sidecar.pass(seconds(2));
+  sidecar.deliver(SidecarFixture::kStore, makeEvacuation(1, true));
+  sidecar.advance(seconds(2));
   CHECK(sidecar.core.targetColdTime() == Duration::zero());
-  sidecar.target.asked.clear();
-  sidecar.say(SidecarFixture::kStore, makeEvacuation(2, false));
+  sidecar.target.health_checks.clear();
+  sidecar.deliver(SidecarFixture::kStore, makeEvacuation(2, false));
   CHECK(sidecar.core.targetColdTime() == seconds(3));
   sidecar.core.onTimer(sidecar.now);
-  CHECK(sidecar.target.asked.size() == 1);
+  CHECK(sidecar.target.health_checks.size() == 1);
 }
 
 TEST_CASE("a sidecar that starts beside a running target checks its health first") {
   SidecarFixture sidecar;
   sidecar.configure(1, makeColdLimitConfiguration());
-  REQUIRE(sidecar.target.asked.size() == 1);
+  REQUIRE(sidecar.target.health_checks.size() == 1);
   sidecar.core.onHealth({true, "a", 2, milliseconds(1'200)}, sidecar.now);
   sidecar.step();
   CHECK(sidecar.core.targetColdTime() == milliseconds(1'220));
@@ -110,7 +110,7 @@
   refusal.reason = wire::NotRunReason::Cold;
   refusal.retry_after_ms = 70;
   refusal.cold_ms = 900;
-  sidecar.say(SidecarFixture::kPeer, refusal, sent.front());
+  sidecar.deliver(SidecarFixture::kPeer, refusal, sent.front());
   REQUIRE(sidecar.callers.answers.contains(first));
   CHECK(sidecar.callers.answers.at(first).outcome == CallOutcome::NotRun);
   // The caller's deadline is the route's one second, and callers are told to wait for a third of it at most.
@@ -118,7 +118,7 @@
   const auto second = sidecar.call("/read/2");
   CHECK(sidecar.callers.answers.contains(second));
   CHECK(sidecar.forwardsTo(SidecarFixture::kPeer).empty());
-  sidecar.pass(milliseconds(150));
+  sidecar.advance(milliseconds(150));
   sidecar.call("/read/3");
   CHECK(sidecar.forwardsTo(SidecarFixture::kPeer).size() == 1);
 }
@@ -139,7 +139,7 @@
   record->slots = 2;
   record->cold_ms = 2'000;
   update.records.push_back(record);
-  sidecar.say(SidecarFixture::kStore, update);
+  sidecar.deliver(SidecarFixture::kStore, update);
   sidecar.call("/read/1");
   sidecar.call("/read/2");
   CHECK(sidecar.forwardsTo(SidecarFixture::kPeer).empty());
--- a/tests/sidecar/distance_cost_test.cpp
+++ b/tests/sidecar/distance_cost_test.cpp
@@ -20,20 +20,20 @@
   double costOf(const std::string& zone) const {
     Endpoint endpoint;
     endpoint.zone = zone;
-    return DistanceCost(options, links).of(endpoint, want, now);
+    return DistanceCost(options, links).of(endpoint, criteria, now);
   }
 
   SidecarOptions options = makeOptions();
   RegionLinks links{options};
-  EndpointWant want;
+  EndpointCriteria criteria;
   TimePoint now{seconds(100)};
 };
 
 }  // namespace
 
 TEST_CASE_METHOD(DistanceFixture, "the own zone costs nothing, and the own region less than another region") {
-  want.patience = milliseconds(150);
-  want.bytes = GENERATE(0, 400, 90'000);
+  criteria.max_wait = milliseconds(150);
+  criteria.bytes = GENERATE(0, 400, 90'000);
   CHECK(costOf("east-a") == 0);
   CHECK(costOf("east-b") > 0);
   CHECK(costOf("west-a") > costOf("east-b"));
@@ -41,34 +41,34 @@
 
 TEST_CASE_METHOD(DistanceFixture, "without configured regions another zone costs its zone cost only") {
   options.zones = mesh::ZoneMap();
-  want.patience = milliseconds(150);
-  want.bytes = 400;
-  want.refused_share = GENERATE(0, 1);
+  criteria.max_wait = milliseconds(150);
+  criteria.bytes = 400;
+  criteria.refusal_share = GENERATE(0, 1);
   CHECK(costOf("west-a") == options.zone_cost.of(400));
 }
 
 TEST_CASE_METHOD(DistanceFixture, "the cost of another region rises as the request's maximum wait falls") {
-  want.patience = milliseconds(150);
+  criteria.max_wait = milliseconds(150);
   const double long_wait_cost = costOf("west-a");
-  want.patience = milliseconds(30);
+  criteria.max_wait = milliseconds(30);
   CHECK(costOf("west-a") > long_wait_cost + 1);
 }
 
 TEST_CASE_METHOD(DistanceFixture, "refused requests lower the round-trip cost but not the bytes cost") {
-  want.patience = milliseconds(150);
+  criteria.max_wait = milliseconds(150);
   const double served = costOf("west-a");
-  want.refused_share = 0.02;
+  criteria.refusal_share = 0.02;
   const double partly_refused = costOf("west-a");
-  want.refused_share = 1;
+  criteria.refusal_share = 1;
   CHECK(partly_refused < served);
   CHECK(costOf("west-a") < partly_refused);
   CHECK(costOf("west-a") > 0);
-  want.bytes = 90'000;
+  criteria.bytes = 90'000;
   CHECK(costOf("west-a") > 90'000 / options.region_bytes_per_target);
 }
 
 TEST_CASE_METHOD(DistanceFixture, "a measured round trip replaces the configured round trip") {
-  want.patience = milliseconds(150);
+  criteria.max_wait = milliseconds(150);
   const double by_setting = costOf("west-a");
   Endpoint west;
   west.zone = "west-a";
@@ -82,15 +82,15 @@
 
 TEST_CASE_METHOD(DistanceFixture, "the senders of a region share the link capacity evenly") {
   options.region_link_bandwidth = 1'000'000;
-  links.setSenders(10);
+  links.setSenderCount(10);
   Endpoint west;
   west.zone = "west-a";
-  want.bytes = 400;
-  want.is_urgent = true;
+  criteria.bytes = 400;
+  criteria.is_urgent = true;
   std::size_t admitted = 0;
   for (const TimePoint end = now + seconds(10); now < end; now += milliseconds(1)) {
-    if (!links.admits(west, want, now)) continue;
-    links.onSent(west, want.bytes, now);
+    if (!links.admits(west, criteria, now)) continue;
+    links.onSent(west, criteria.bytes, now);
     ++admitted;
   }
   // Each request is counted with its overhead besides the body. Half of the link capacity is reserved for the
@@ -99,8 +99,8 @@
   CHECK(admitted * 1'400 > 300'000);
   Endpoint near;
   near.zone = "east-b";
-  want.bytes = 1'000'000;
-  CHECK(links.admits(near, want, now));
+  criteria.bytes = 1'000'000;
+  CHECK(links.admits(near, criteria, now));
 }
 
 TEST_CASE_METHOD(DistanceFixture,
--- a/tests/sidecar/endpoint_directory_test.cpp
+++ b/tests/sidecar/endpoint_directory_test.cpp
@@ -32,7 +32,7 @@
       update.records.push_back(std::move(record));
     }
     directory.apply(update, true, now);
-    for (const auto& address : {kFast, kSlow}) directory.noteOwn(address);
+    for (const auto& address : {kFast, kSlow}) directory.noteLocalEndpoint(address);
   }
 
   void report(const runtime::Address& address, std::uint32_t run_time_permille, unsigned running = 0) {
@@ -140,11 +140,11 @@
 TEST_CASE("a request with a large response is sent to the endpoint that sends its held responses sooner") {
   DirectoryFixture fixture;
   const auto selected_for = [&fixture](bool has_large_answer) {
-    EndpointWant want;
-    want.service = "shop";
-    want.has_large_answer = has_large_answer;
-    want.patience = milliseconds(200);
-    return fixture.directory.choose(want, {}, fixture.random, fixture.now)->address;
+    EndpointCriteria criteria;
+    criteria.service = "shop";
+    criteria.has_large_answer = has_large_answer;
+    criteria.max_wait = milliseconds(200);
+    return fixture.directory.choose(criteria, {}, fixture.random, fixture.now)->address;
   };
   // The endpoint with the full link has two requests fewer.
   fixture.report(kSlow, 250, 2);
@@ -166,12 +166,12 @@
 }
 
 TEST_CASE("the response size is estimated for each route") {
-  AnswerForecast sizes;
+  ResponseEstimator sizes;
   CHECK(sizes.answerBytes("read") == 0);
-  sizes.noteSize("read", 5'000);
-  sizes.noteSize("write", 100);
+  sizes.recordSize("read", 5'000);
+  sizes.recordSize("write", 100);
   CHECK(sizes.answerBytes("read") == 5'000);
-  for (int i = 0; i < 100; ++i) sizes.noteSize("read", 1'000);
+  for (int i = 0; i < 100; ++i) sizes.recordSize("read", 1'000);
   CHECK(sizes.answerBytes("read") < 1'100);
   CHECK(sizes.answerBytes("write") == 100);
 }
@@ -198,7 +198,7 @@
   record->slots = kSlots;
   update.records.push_back(std::move(record));
   fixture.directory.apply(update, false, fixture.now);
-  fixture.directory.noteOwn(joined);
+  fixture.directory.noteLocalEndpoint(joined);
   CHECK(fixture.selectionsOf(joined) > 0);
 }
 
--- a/tests/sidecar/endpoint_filter_test.cpp
+++ b/tests/sidecar/endpoint_filter_test.cpp
@@ -5,8 +5,8 @@
 
 using namespace cometstand;
 using sidecar::Endpoint;
+using sidecar::EndpointCriteria;
 using sidecar::EndpointFilter;
-using sidecar::EndpointWant;
 
 namespace {
 
@@ -17,12 +17,12 @@
     endpoint.linked = true;
   }
 
-  bool admits() const { return EndpointFilter(zones, evacuations).admits(endpoint, want, now); }
+  bool admits() const { return EndpointFilter(zones, evacuations).admits(endpoint, criteria, now); }
 
   const mesh::ZoneMap zones{{"east-a=east", "west-a=west"}};
   sidecar::ZoneEvacuations evacuations;
   Endpoint endpoint;
-  EndpointWant want;
+  EndpointCriteria criteria;
   TimePoint now{std::chrono::seconds(100)};
 };
 
@@ -38,9 +38,9 @@
 }
 
 TEST_CASE_METHOD(FilterFixture, "a request restricted to regions is sent to no other region") {
-  want.regions = {"east"};
+  criteria.regions = {"east"};
   CHECK_FALSE(admits());
-  want.regions = {"east", "west"};
+  criteria.regions = {"east", "west"};
   CHECK(admits());
 }
 
@@ -48,7 +48,7 @@
                  "an endpoint in an unknown zone gets no request that is restricted to regions") {
   endpoint.zone = "nowhere";
   CHECK(admits());
-  want.regions = {"west"};
+  criteria.regions = {"west"};
   CHECK_FALSE(admits());
 }
 
--- a/tests/sidecar/endpoint_subset_test.cpp
+++ b/tests/sidecar/endpoint_subset_test.cpp
@@ -91,10 +91,10 @@
   const std::size_t before = subset.size();
   for (std::size_t i = 1'000; i < 1'012; ++i) subset.add(addressOf(i), "shop", "v2", zoneOf(i));
   CHECK(subset.refresh().size() == 12);
-  subset.setWhole({"shop"});
+  subset.setUnrestrictedServices({"shop"});
   CHECK(subset.refresh().size() == 600 - before);
   CHECK(subset.size() == 612);
-  subset.setWhole({});
+  subset.setUnrestrictedServices({});
   subset.refresh();
   CHECK(subset.size() == before + 12);
 }
--- a/tests/sidecar/failed_request_test.cpp
+++ b/tests/sidecar/failed_request_test.cpp
@@ -57,7 +57,7 @@
  public:
   SingleEndpointFixture() {
     configure();
-    core.onHeartbeat(makeBeat("instance-a", 1), now);
+    core.onHeartbeat(makeHeartbeat("instance-a", 1), now);
     step();
   }
 };
@@ -74,7 +74,7 @@
   const LogCapture log;
   SingleEndpointFixture sidecar;
   for (int i = 0; i < 3; ++i) sidecar.call("/read/1");
-  sidecar.pass(milliseconds(300));
+  sidecar.advance(milliseconds(300));
   const auto lines = log.findLines("r3");
   CHECK_THAT(lines, Catch::Contains("\"name\":\"call_ended\"") && Catch::Contains("\"outcome\":\"not_run\""));
   CHECK_THAT(lines, Catch::Contains("\"reason\":\"Full\"") && Catch::Contains("\"instance\":\"instance-a\""));
@@ -99,7 +99,7 @@
   const LogCapture log;
   SingleEndpointFixture sidecar;
   sidecar.call("/read/1", milliseconds(300));
-  sidecar.pass(milliseconds(310));
+  sidecar.advance(milliseconds(310));
   const auto lines = log.findLines("r1");
   CHECK_THAT(lines,
              Catch::Contains("\"name\":\"call_ended\"") && Catch::Contains("\"outcome\":\"timed_out\""));
--- a/tests/sidecar/incarnation_series_test.cpp
+++ b/tests/sidecar/incarnation_series_test.cpp
@@ -17,7 +17,7 @@
 constexpr Duration kMaxDelay = seconds(6);
 /// Lifetime of the last incarnation: long enough for all delayed messages to arrive, for the previous
 /// incarnation to count as silent, and for two more heartbeats to arrive.
-constexpr Duration kLastLifetime = kMaxDelay + TargetState::kSilence + 4 * kHeartbeatInterval;
+constexpr Duration kLastLifetime = kMaxDelay + TargetState::kHeartbeatTimeout + 4 * kHeartbeatInterval;
 
 /// A message of an incarnation with its arrival time.
 struct Message {
--- a/tests/sidecar/large_answer_fixture.h
+++ b/tests/sidecar/large_answer_fixture.h
@@ -77,7 +77,7 @@
     head.body_follows = true;
     head.body = makeBody(kInitialCreditBytes);
     sent_body_bytes = kInitialCreditBytes;
-    say(attempt.peer, head, attempt.number);
+    deliver(attempt.peer, head, attempt.number);
   }
 
   void sendPart(const Attempt& attempt, std::size_t bytes, wire::BodyEnd end = wire::BodyEnd::Open) {
@@ -87,7 +87,7 @@
     part.bytes.assign(begin, begin + static_cast<std::ptrdiff_t>(bytes));
     part.end = end;
     sent_body_bytes += bytes;
-    say(attempt.peer, std::move(part), attempt.number);
+    deliver(attempt.peer, std::move(part), attempt.number);
   }
 
   /// Sends the granted bytes from the endpoint until the response is complete.
@@ -104,7 +104,7 @@
   // ---- The sidecar serves the target; the test simulates the requester.
 
   void startTarget(unsigned slots = 2) {
-    auto heartbeat = makeBeat("a", ++heartbeats);
+    auto heartbeat = makeHeartbeat("a", ++heartbeats);
     heartbeat.slots = slots;
     core.onHeartbeat(heartbeat, now);
     step();
--- a/tests/sidecar/large_answer_test.cpp
+++ b/tests/sidecar/large_answer_test.cpp
@@ -10,11 +10,11 @@
   const auto attempt = takeAttempt();
   beginResponse(attempt);
   CHECK_FALSE(callers.answers.contains(id));
-  CHECK(core.answersArriving() == 1);
+  CHECK(core.largeAnswersInFlight() == 1);
   sendRemainder(attempt);
   CHECK(callers.answers.at(id).outcome == CallOutcome::Answered);
   CHECK(callers.answers.at(id).reply.body == makeBody(kLargeResponseBytes));
-  CHECK(core.answersArriving() == 0);
+  CHECK(core.largeAnswersInFlight() == 0);
   CHECK(core.callsInFlight() == 0);
 }
 
@@ -25,7 +25,7 @@
     call("/read/1");
     beginResponse(takeAttempt());
   }
-  CHECK(core.answersArriving() == 10);
+  CHECK(core.largeAnswersInFlight() == 10);
   CHECK(takeGranted() <= 64 * 1024);
 }
 
@@ -67,7 +67,7 @@
     // More than was granted.
     sendPart(attempt, granted + 1, wire::BodyEnd::Whole);
   }
-  CHECK(core.answersArriving() == 0);
+  CHECK(core.largeAnswersInFlight() == 0);
   if (!is_repeatable) {
     CHECK(callers.answers.at(id).outcome == CallOutcome::Failed);
     return;
@@ -89,10 +89,10 @@
   const auto attempt = takeAttempt();
   beginResponse(attempt);
   sendPart(attempt, 8'000);
-  pass(std::chrono::seconds(2));
+  advance(std::chrono::seconds(2));
   CHECK(callers.answers.at(id).outcome == CallOutcome::TimedOut);
   CHECK(count(wire::Body::ForwardCancel) == 1);
-  CHECK(core.answersArriving() == 0);
+  CHECK(core.largeAnswersInFlight() == 0);
 }
 
 TEST_CASE_METHOD(LargeAnswerFixture, "the response in transfer is cancelled when its caller disconnects",
@@ -104,7 +104,7 @@
   core.onCallerGone(id, now);
   step();
   CHECK(count(wire::Body::ForwardCancel) == 1);
-  CHECK(core.answersArriving() == 0);
+  CHECK(core.largeAnswersInFlight() == 0);
   // Parts that were in flight are discarded.
   sendPart(attempt, 8'000, wire::BodyEnd::Whole);
   CHECK(callers.answers.empty());
@@ -120,7 +120,7 @@
   const auto attempt = takeAttempt();
   beginResponse(attempt);
   CHECK(takeGranted() == 0);
-  pass(milliseconds(450));
+  advance(milliseconds(450));
   sendRemainder(attempt);
   CHECK(callers.answers.at(id).outcome == CallOutcome::Answered);
 }
@@ -137,11 +137,11 @@
   const auto attempt = takeAttempt();
   beginResponse(attempt);
   core.beginStop(now);
-  pass(milliseconds(2'500));
+  advance(milliseconds(2'500));
   CHECK_FALSE(core.stopped());
   sendRemainder(attempt);
   CHECK(callers.answers.at(id).outcome == CallOutcome::Answered);
-  pass(milliseconds(100));
+  advance(milliseconds(100));
   CHECK(core.stopped());
 }
 
--- a/tests/sidecar/large_body_test.cpp
+++ b/tests/sidecar/large_body_test.cpp
@@ -38,7 +38,7 @@
   void grant(std::uint64_t number, std::uint32_t bytes) {
     wire::BodyGrantT message;
     message.bytes = bytes;
-    say(kPeer, message, number);
+    deliver(kPeer, message, number);
   }
 
   template <typename Message>
@@ -108,7 +108,7 @@
   const auto number = last(wire::Body::ForwardRequest).request_id;
   const bool is_whole = GENERATE(false, true);
   grant(number, is_whole ? kLargeBodyBytes : kLargeBodyBytes - 1);
-  pass(std::chrono::seconds(2));
+  advance(std::chrono::seconds(2));
   CHECK(callers.answers.at(id).outcome == (is_whole ? CallOutcome::TimedOut : CallOutcome::NotRun));
   CHECK(count(wire::Body::ForwardCancel) == 1);
 }
@@ -116,7 +116,7 @@
 TEST_CASE_METHOD(LargeBodyFixture, "an announced request runs after its whole body was received",
                  "[sidecar]") {
   configure();
-  core.onHeartbeat(makeBeat("a", 1), now);
+  core.onHeartbeat(makeHeartbeat("a", 1), now);
   announceIncoming(7);
   CHECK(last(wire::Body::BodyGrant).request_id == 7);
   CHECK(target.orders.empty());
@@ -135,7 +135,7 @@
   CHECK(target.orders[0].request->body.size() == kLargeBodyBytes);
 }
 
-TEST_CASE_METHOD(LargeBodyFixture, "an announced request is rejected at once while the target is down",
+TEST_CASE_METHOD(LargeBodyFixture, "an announced request is refused at once while the target is down",
                  "[sidecar]") {
   configure();
   announceIncoming(7);
