--- a/tests/sidecar/link_share_test.cpp
+++ b/tests/sidecar/link_share_test.cpp
@@ -18,7 +18,7 @@
 TEST_CASE("a share without a ceiling admits everything") {
   LinkShare share;
   for (int i = 0; i < 100; ++i) {
-    CHECK(share.admits(1'000'000, TransferClass::Last, kStart));
+    CHECK(share.admits(1'000'000, TransferPriority::Low, kStart));
     share.take(1'000'000, kStart);
   }
 }
@@ -28,7 +28,7 @@
   share.setCeiling(10'000);
   double taken = 0;
   for (TimePoint now = kStart; now < kStart + seconds(10); now += milliseconds(1)) {
-    if (!share.admits(500, TransferClass::First, now)) continue;
+    if (!share.admits(500, TransferPriority::High, now)) continue;
     share.take(500, now);
     taken += 500;
   }
@@ -39,32 +39,32 @@
 TEST_CASE("a transfer larger than the bucket needs a full bucket and leaves a negative balance") {
   LinkShare share;
   share.setCeiling(10'000);
-  CHECK(share.admits(20'000, TransferClass::Last, kStart));
+  CHECK(share.admits(20'000, TransferPriority::Low, kStart));
   share.take(20'000, kStart);
-  CHECK_FALSE(share.admits(1, TransferClass::First, kStart + milliseconds(1'700)));
-  CHECK(share.admits(1, TransferClass::First, kStart + milliseconds(1'800)));
+  CHECK_FALSE(share.admits(1, TransferPriority::High, kStart + milliseconds(1'700)));
+  CHECK(share.admits(1, TransferPriority::High, kStart + milliseconds(1'800)));
 }
 
 TEST_CASE("when tokens run low, requests neither urgent nor small stop first, and urgent small ones last") {
   LinkShare share;
   share.setCeiling(10'000);
-  CHECK(share.admits(100, TransferClass::Last, kStart));
+  CHECK(share.admits(100, TransferPriority::Low, kStart));
   share.take(1'500, kStart);
-  CHECK_FALSE(share.admits(100, TransferClass::Last, kStart));
-  CHECK(share.admits(100, TransferClass::Second, kStart));
+  CHECK_FALSE(share.admits(100, TransferPriority::Low, kStart));
+  CHECK(share.admits(100, TransferPriority::Normal, kStart));
   share.take(500, kStart);
-  CHECK_FALSE(share.admits(100, TransferClass::Second, kStart));
-  CHECK(share.admits(100, TransferClass::First, kStart));
+  CHECK_FALSE(share.admits(100, TransferPriority::Normal, kStart));
+  CHECK(share.admits(100, TransferPriority::High, kStart));
 }
 
 TEST_CASE("tokens taken for bytes that were not transferred are returned") {
   LinkShare share;
   share.setCeiling(10'000);
-  CHECK(share.admits(2'400, TransferClass::First, kStart));
+  CHECK(share.admits(2'400, TransferPriority::High, kStart));
   share.take(2'400, kStart);
-  CHECK_FALSE(share.admits(2'000, TransferClass::First, kStart));
+  CHECK_FALSE(share.admits(2'000, TransferPriority::High, kStart));
   share.settle(-2'300, kStart);
-  CHECK(share.admits(2'000, TransferClass::First, kStart));
+  CHECK(share.admits(2'000, TransferPriority::High, kStart));
 }
 
 TEST_CASE("a queue on the link lowers the rate at once, and the rate recovers in steps") {
--- a/tests/sidecar/outbound_calls_test.cpp
+++ b/tests/sidecar/outbound_calls_test.cpp
@@ -72,9 +72,9 @@
   sidecar.configure();
   sidecar.addPeer(SidecarFixture::kPeer);
   const auto id = sidecar.call("/read/1", milliseconds(300));
-  sidecar.pass(milliseconds(299));
+  sidecar.advance(milliseconds(299));
   CHECK_FALSE(sidecar.callers.answers.contains(id));
-  sidecar.pass(milliseconds(2));
+  sidecar.advance(milliseconds(2));
   CHECK(sidecar.callers.answers.at(id).outcome == CallOutcome::TimedOut);
   const auto cancels = std::count_if(sidecar.sent.begin(), sidecar.sent.end(), [](const auto& message) {
     return message.message->body.AsForwardCancel() != nullptr;
@@ -110,7 +110,7 @@
   // Keeps one request in flight, so that the sidecar does not complete the stop early.
   for (int i = 0; i < 6; ++i) {
     sidecar.call("/read/1", seconds(1));
-    sidecar.pass(milliseconds(900));
+    sidecar.advance(milliseconds(900));
   }
   REQUIRE_FALSE(sidecar.core.stopped());
   const auto late_call = sidecar.call("/read/1", seconds(1));
@@ -132,7 +132,7 @@
        {std::pair{"/read/1", milliseconds(6'000)}, {"/write/1", milliseconds(20)}}) {
     sidecar.call(path);
     const auto numbers = sidecar.forwardsTo(SidecarFixture::kPeer);
-    sidecar.pass(time);
+    sidecar.advance(time);
     sidecar.reply(SidecarFixture::kPeer, numbers.at(0), ForwardOutcome::Answered);
   }
   sidecar.core.beginStop(sidecar.now);
@@ -152,7 +152,7 @@
   sidecar.configure();
   sidecar.addPeer(SidecarFixture::kPeer);
   sidecar.core.beginStop(sidecar.now);
-  sidecar.pass(seconds(3));
+  sidecar.advance(seconds(3));
   REQUIRE(sidecar.core.stopped());
   const auto last = sidecar.call("/read/1", milliseconds(200));
   CHECK_FALSE(sidecar.callers.answers.contains(last));
--- a/tests/sidecar/passed_on_answer_test.cpp
+++ b/tests/sidecar/passed_on_answer_test.cpp
@@ -53,13 +53,13 @@
   }
 
   /// Makes a call and receives the first bytes of its response.
-  CallId beginCall(bool takes_parts = true) {
+  CallId beginCall(bool accepts_streaming = true) {
     Call request;
     request.host = "shop.example";
     request.request.target = "/read/1";
     request.request.method = "GET";
     request.request.request_id = "r1";
-    request.takes_parts = takes_parts;
+    request.accepts_streaming = accepts_streaming;
     const CallId id{1};
     sidecar.core.onCall(id, std::move(request), sidecar.now);
     sidecar.step();
@@ -76,7 +76,7 @@
     sent_bytes = kFirstPartBytes;
     const auto body = makeBody();
     head.body.assign(body.begin(), body.begin() + static_cast<std::ptrdiff_t>(kFirstPartBytes));
-    sidecar.say(peer, head, number);
+    sidecar.deliver(peer, head, number);
     return id;
   }
 
@@ -97,7 +97,7 @@
     sent_bytes += bytes;
     if (sent_bytes == kResponseBytes) part.end = wire::BodyEnd::Whole;
     sidecar.now += milliseconds(1);
-    sidecar.say(peer, std::move(part), number);
+    sidecar.deliver(peer, std::move(part), number);
     return bytes;
   }
 
@@ -132,7 +132,7 @@
   sendAll();
   CHECK(streaming_callers.has_begun);
   // The caller has consumed nothing, so no more credit is granted.
-  constexpr std::size_t kMaxHeldBytes = AnswerIntake::kStreamingThresholdBytes + 64 * 1024;
+  constexpr std::size_t kMaxHeldBytes = ResponseIntake::kStreamingThresholdBytes + 64 * 1024;
   CHECK(sent_bytes < kMaxHeldBytes);
   std::size_t taken = 0;
   while (streaming_callers.end == wire::BodyEnd::Open) {
@@ -170,11 +170,11 @@
   } else if (failure == 1) {
     wire::BodyPartT part;
     part.end = wire::BodyEnd::Broken;
-    sidecar.say(peer, std::move(part), number);
+    sidecar.deliver(peer, std::move(part), number);
   } else if (failure == 2) {
     sidecar.reply(peer, number, wire::ForwardOutcome::NotRun);
   } else {
-    sidecar.pass(std::chrono::seconds(2));
+    sidecar.advance(std::chrono::seconds(2));
     CHECK(hasCancelled());
   }
   sidecar.step();
@@ -192,7 +192,7 @@
   sidecar.core.onCallerGone(id, sidecar.now);
   sidecar.step();
   CHECK(hasCancelled());
-  CHECK(sidecar.core.answersArriving() == 0);
+  CHECK(sidecar.core.largeAnswersInFlight() == 0);
   CHECK(streaming_callers.end == wire::BodyEnd::Open);
 }
 
--- a/tests/sidecar/past_incarnations_test.cpp
+++ b/tests/sidecar/past_incarnations_test.cpp
@@ -14,7 +14,7 @@
 constexpr std::uint64_t kRestarts = 10'000;
 
 Heartbeat makeHeartbeat(std::uint64_t born_ms) {
-  auto heartbeat = SidecarFixture::makeBeat("a", 1);
+  auto heartbeat = SidecarFixture::makeHeartbeat("a", 1);
   heartbeat.incarnation.born_ms = born_ms;
   return heartbeat;
 }
@@ -27,7 +27,7 @@
   const TimePoint now{std::chrono::seconds(100)};
   for (std::uint64_t born = 1; born <= kRestarts; ++born)
     REQUIRE(target.onHeartbeat(makeHeartbeat(born), now));
-  CHECK(target.pastIncarnations() <= PastIncarnations::kMaxIncarnations);
+  CHECK(target.pastIncarnationCount() <= PastIncarnations::kMaxIncarnations);
   // Late heartbeats of the remembered incarnations are still ignored.
   for (std::uint64_t born = kRestarts - PastIncarnations::kMaxIncarnations; born < kRestarts; ++born)
     CHECK_FALSE(target.onHeartbeat(makeHeartbeat(born), now));
@@ -41,7 +41,7 @@
   target.onHeartbeat(makeHeartbeat(1), now);
   for (std::uint64_t number = 1; number <= kRestarts; ++number)
     target.onDeregistered({"made-up-" + std::to_string(number), 0}, now);
-  CHECK(target.pastIncarnations() <= PastIncarnations::kMaxIncarnations);
+  CHECK(target.pastIncarnationCount() <= PastIncarnations::kMaxIncarnations);
   CHECK(target.condition() == TargetCondition::Ready);
 }
 
--- a/tests/sidecar/quarantine_test.cpp
+++ b/tests/sidecar/quarantine_test.cpp
@@ -50,7 +50,7 @@
 
   /// Sends a request to the sidecar's own target, which ends while it has the request.
   void crashTargetWith(const std::string& path, const std::string& instance) {
-    core.onHeartbeat(makeBeat(instance, 1), now);
+    core.onHeartbeat(makeHeartbeat(instance, 1), now);
     step();
     addPeer(kPeer, wire::EndpointState::Leaving);
     addPeer(kOtherPeer, wire::EndpointState::Leaving);
@@ -67,7 +67,7 @@
 }  // namespace
 
 TEST_CASE_METHOD(QuarantineFixture, "a quarantined request is refused at once and not forwarded") {
-  say(kStore, makeUpdate("/read/x", wire::ContentState::Quarantined, 1));
+  deliver(kStore, makeUpdate("/read/x", wire::ContentState::Quarantined, 1));
   const auto refused = call("/read/x");
   CHECK(callers.answers.at(refused).outcome == CallOutcome::Quarantined);
   CHECK(callers.answers.at(refused).retry_after == Duration::zero());
@@ -86,12 +86,12 @@
   wire::ForwardReplyT answer;
   answer.outcome = wire::ForwardOutcome::NotRun;
   answer.reason = wire::NotRunReason::Quarantined;
-  say(at_peer ? kPeer : kOtherPeer, answer, numbers.at(0));
+  deliver(at_peer ? kPeer : kOtherPeer, answer, numbers.at(0));
   CHECK(callers.answers.at(id).outcome == CallOutcome::Quarantined);
 }
 
 TEST_CASE_METHOD(QuarantineFixture, "a suspected request that may have run is not retried") {
-  say(kStore, makeUpdate("/read/x", wire::ContentState::Suspected, 1));
+  deliver(kStore, makeUpdate("/read/x", wire::ContentState::Suspected, 1));
   const auto id = call("/read/x");
   auto numbers = forwardsTo(kPeer);
   const bool at_peer = !numbers.empty();
@@ -102,10 +102,10 @@
 
 TEST_CASE_METHOD(QuarantineFixture,
                  "an update of a lagging store is ignored, and a release ends the quarantine") {
-  say(kStore, makeUpdate("/read/x", wire::ContentState::Quarantined, 5));
-  say(kStore, makeUpdate("/read/x", wire::ContentState::Released, 4));
+  deliver(kStore, makeUpdate("/read/x", wire::ContentState::Quarantined, 5));
+  deliver(kStore, makeUpdate("/read/x", wire::ContentState::Released, 4));
   CHECK(callers.answers.at(call("/read/x")).outcome == CallOutcome::Quarantined);
-  say(kStore, makeUpdate("/read/x", wire::ContentState::Released, 6));
+  deliver(kStore, makeUpdate("/read/x", wire::ContentState::Released, 6));
   CHECK_FALSE(callers.answers.contains(call("/read/x")));
 }
 
@@ -116,12 +116,12 @@
   REQUIRE(first.size() == 1);
   CHECK(first.at(0).instance == "a");
   REQUIRE(first.at(0).suspects.size() == 1);
-  pass(milliseconds(600));
+  advance(milliseconds(600));
   CHECK(reports().size() == 1);
   wire::CrashReportT taken;
   taken.instance = "a";
-  say(kStore, taken);
-  pass(milliseconds(2'000));
+  deliver(kStore, taken);
+  advance(milliseconds(2'000));
   CHECK(reports().empty());
 }
 
@@ -140,8 +140,8 @@
 }
 
 TEST_CASE_METHOD(QuarantineFixture, "a suspected request that completes is reported as cleared") {
-  say(kStore, makeUpdate("/read/x", wire::ContentState::Suspected, 3));
-  core.onHeartbeat(makeBeat("a", 1), now);
+  deliver(kStore, makeUpdate("/read/x", wire::ContentState::Suspected, 3));
+  core.onHeartbeat(makeHeartbeat("a", 1), now);
   step();
   addPeer(kPeer, wire::EndpointState::Leaving);
   addPeer(kOtherPeer, wire::EndpointState::Leaving);
--- a/tests/sidecar/residency_test.cpp
+++ b/tests/sidecar/residency_test.cpp
@@ -69,7 +69,7 @@
   void grant(const runtime::Address& from, std::uint64_t number) {
     wire::BodyGrantT grant;
     grant.bytes = 10'000;
-    say(from, grant, number);
+    deliver(from, grant, number);
   }
 
   /// Opens an incoming link from another sidecar. @return the link.
@@ -186,7 +186,7 @@
 TEST_CASE_METHOD(ResidencyFixture,
                  "a gate refuses requests that its latest configuration restricts to other regions") {
   begin({});
-  core.onHeartbeat(makeBeat("own", 1), now);
+  core.onHeartbeat(makeHeartbeat("own", 1), now);
   step();
   const auto link = openPeerLink();
   core.onMessage(link, runtime::makeEnvelope(makeForward("read"), 1), now);
@@ -210,7 +210,7 @@
 TEST_CASE_METHOD(ResidencyFixture,
                  "a request in a gate's queue is refused instead of run after its regions changed") {
   begin({});
-  core.onHeartbeat(makeBeat("own", 1), now);
+  core.onHeartbeat(makeHeartbeat("own", 1), now);
   const auto link = openPeerLink();
   for (const std::uint64_t number : {1, 2, 3}) {
     core.onMessage(link, runtime::makeEnvelope(makeForward("read"), number), now);
@@ -251,7 +251,7 @@
 
 TEST_CASE_METHOD(ResidencyFixture, "a reply has the time that its request spent at the endpoint's node") {
   begin({});
-  core.onHeartbeat(makeBeat("own", 1), now);
+  core.onHeartbeat(makeHeartbeat("own", 1), now);
   const auto link = openPeerLink();
   core.onMessage(link, runtime::makeEnvelope(makeForward(""), 1), now);
   step();
@@ -268,8 +268,8 @@
                  "a sidecar subscribes to a store of the own region rather than to one elsewhere") {
   const runtime::Address west_store{"10.0.0.8", 7000};
   const runtime::Address east_store{"10.0.0.7", 7000};
-  const auto beat = tellStores({{kStore, "west-a"}, {west_store, "west-a"}, {east_store, "east-b"}});
-  say(west_store, beat);
+  const auto beat = announceStores({{kStore, "west-a"}, {west_store, "west-a"}, {east_store, "east-b"}});
+  deliver(west_store, beat);
   const auto subscriptions = [this](const runtime::Address& store) {
     return std::count_if(sent.begin(), sent.end(), [&](const auto& message) {
       const auto* subscribe = message.message->body.AsNodeSubscribe();
@@ -277,7 +277,7 @@
     });
   };
   CHECK(subscriptions(west_store) == 0);
-  say(east_store, beat);
+  deliver(east_store, beat);
   CHECK(subscriptions(east_store) == 1);
 }
 
--- a/tests/sidecar/response_transfers_test.cpp
+++ b/tests/sidecar/response_transfers_test.cpp
@@ -54,18 +54,18 @@
   startTarget();
   receiveRequest(7);
   finishRun();
-  pass(milliseconds(2'100));
+  advance(milliseconds(2'100));
   CHECK(responseTo(7).end == wire::BodyEnd::Open);
-  pass(milliseconds(200));
+  advance(milliseconds(200));
   CHECK(responseTo(7).end == wire::BodyEnd::Broken);
   CHECK(core.answers().heldBytes() == 0);
 }
 
 TEST_CASE_METHOD(LargeAnswerFixture,
-                 "requests of other sidecars are rejected while slow readers hold the response memory",
+                 "requests of other sidecars are refused while slow readers hold the response memory",
                  "[sidecar]") {
   startTarget();
-  constexpr std::uint64_t kResponses = AnswerTransfers::kMaxHeldBytes / kLargeResponseBytes + 1;
+  constexpr std::uint64_t kResponses = ResponseTransfers::kMaxHeldBytes / kLargeResponseBytes + 1;
   for (std::uint64_t number = 1; number <= kResponses; ++number) {
     receiveRequest(number);
     finishRun();
@@ -85,11 +85,11 @@
   receiveRequest(7, kInitialCreditBytes, 5'000);
   finishRun();
   core.beginStop(now);
-  pass(milliseconds(2'500));
+  advance(milliseconds(2'500));
   CHECK_FALSE(core.stopped());
   grant(7, kLargeResponseBytes);
   CHECK(responseTo(7).body == makeBody(kLargeResponseBytes));
-  pass(milliseconds(100));
+  advance(milliseconds(100));
   CHECK(core.stopped());
 }
 
@@ -97,8 +97,8 @@
   startTarget();
   receiveRequest(7);
   finishRun();
-  core.onHeartbeat(makeBeat("a", ++heartbeats, false), now);
-  pass(milliseconds(500));
+  core.onHeartbeat(makeHeartbeat("a", ++heartbeats, false), now);
+  advance(milliseconds(500));
   receiveRequest(8);
   CHECK(responseTo(8).reason == wire::NotRunReason::Leaving);
   grant(7, kLargeResponseBytes);
@@ -141,7 +141,7 @@
 
   receiveRequest(100);
   CHECK(responseTo(100).reason == wire::NotRunReason::None);
-  for (std::uint64_t number = 101; core.answers().expectedWait(now) < AnswerTransfers::kMaxExpectedWait;
+  for (std::uint64_t number = 101; core.answers().expectedWait(now) < ResponseTransfers::kMaxExpectedWait;
        ++number) {
     receive_request(number, kLargeResponseBytes);
     finishRun();
--- a/tests/sidecar/retry_budget_test.cpp
+++ b/tests/sidecar/retry_budget_test.cpp
@@ -37,7 +37,7 @@
   std::size_t retries = 0;
   for (int sidecar = 0; sidecar < sidecars; ++sidecar) {
     RetryBudget budget(0.2, 3, slack);
-    budget.setSidecars(static_cast<std::size_t>(sidecars));
+    budget.setSidecarCount(static_cast<std::size_t>(sidecars));
     TimePoint now = kNow;
     const Duration request_interval = seconds(1) / requests_per_second;
     for (int i = 0; i < 60 * requests_per_second; ++i) budget.onRequest("shop", now += request_interval);
--- a/tests/sidecar/rollout_view_test.cpp
+++ b/tests/sidecar/rollout_view_test.cpp
@@ -108,14 +108,14 @@
 TEST_CASE("a closed version refuses requests, finishes running ones, and reports both to the leader") {
   SidecarFixture fixture;
   fixture.configure();
-  auto heartbeat = SidecarFixture::makeBeat("t1", 1);
+  auto heartbeat = SidecarFixture::makeHeartbeat("t1", 1);
   heartbeat.version = "v1";
   fixture.core.onHeartbeat(heartbeat, fixture.now);
   fixture.step();
   fixture.call("/read/1");
   REQUIRE(fixture.target.orders.size() == 1);
   fixture.sent.clear();
-  fixture.say(SidecarFixture::kStore, makeUpdate(Phase::Promoting));
+  fixture.deliver(SidecarFixture::kStore, makeUpdate(Phase::Promoting));
   const auto last_report = [&fixture] {
     std::optional<wire::RolloutReportT> report;
     for (const auto& message : fixture.sent) {
@@ -134,18 +134,18 @@
   result.reply.status = 200;
   fixture.core.onRunResult(fixture.target.orders.front().id, result, fixture.now);
   fixture.step();
-  fixture.pass(milliseconds(300));
+  fixture.advance(milliseconds(300));
   CHECK(last_report()->in_flight == 0);
 }
 
 TEST_CASE("requests that run during a roll-out are counted by route") {
   SidecarFixture fixture;
   fixture.configure();
-  auto heartbeat = SidecarFixture::makeBeat("t2", 1);
+  auto heartbeat = SidecarFixture::makeHeartbeat("t2", 1);
   heartbeat.version = "v2";
   fixture.core.onHeartbeat(heartbeat, fixture.now);
   fixture.step();
-  fixture.say(SidecarFixture::kStore, makeUpdate(Phase::Canary, 1'000));
+  fixture.deliver(SidecarFixture::kStore, makeUpdate(Phase::Canary, 1'000));
   fixture.call("/write/1");
   REQUIRE(fixture.target.orders.size() == 1);
   fixture.now += milliseconds(100);
@@ -155,7 +155,7 @@
   fixture.core.onRunResult(fixture.target.orders.front().id, result, fixture.now);
   fixture.step();
   fixture.sent.clear();
-  fixture.pass(milliseconds(300));
+  fixture.advance(milliseconds(300));
   const auto found = std::find_if(fixture.sent.begin(), fixture.sent.end(), [](const auto& message) {
     return message.message->body.AsRolloutReport() != nullptr;
   });
--- a/tests/sidecar/sidecar_core_test.cpp
+++ b/tests/sidecar/sidecar_core_test.cpp
@@ -10,13 +10,13 @@
     "a sidecar that starts checks its target's health and sends it requests before the next heartbeat") {
   SidecarFixture sidecar;
   sidecar.configure();
-  REQUIRE(sidecar.target.asked == std::vector<std::string>{"/health"});
+  REQUIRE(sidecar.target.health_checks == std::vector<std::string>{"/health"});
   sidecar.core.onHealth({true, "a", 2}, sidecar.now);
   sidecar.call("/read/1");
   REQUIRE(sidecar.target.orders.size() == 1);
   CHECK(sidecar.target.orders[0].instance == "a");
   // A heartbeat overrides the health check, whatever its sequence number.
-  sidecar.core.onHeartbeat(SidecarFixture::makeBeat("a", 1, false), sidecar.now);
+  sidecar.core.onHeartbeat(SidecarFixture::makeHeartbeat("a", 1, false), sidecar.now);
   CHECK(sidecar.core.gate().target().condition() == TargetCondition::Leaving);
 }
 
@@ -24,8 +24,8 @@
   SidecarFixture sidecar;
   sidecar.configure();
   sidecar.core.onHealth({false, "a", 2}, sidecar.now);
-  CHECK(sidecar.core.gate().target().condition() == TargetCondition::Unheard);
-  sidecar.core.onHeartbeat(SidecarFixture::makeBeat("a", 3, false), sidecar.now);
+  CHECK(sidecar.core.gate().target().condition() == TargetCondition::Unknown);
+  sidecar.core.onHeartbeat(SidecarFixture::makeHeartbeat("a", 3, false), sidecar.now);
   sidecar.core.onHealth({true, "a", 2}, sidecar.now);
   CHECK(sidecar.core.gate().target().condition() == TargetCondition::Leaving);
 }
@@ -45,12 +45,12 @@
   wire::MeshUpdateT older;
   older.revision = 4;
   older.configuration = mesh::compress(mesh::encodeConfiguration(SidecarFixture::makeConfiguration()));
-  sidecar.say(SidecarFixture::kStore, older);
+  sidecar.deliver(SidecarFixture::kStore, older);
   CHECK(sidecar.core.routes()->revision() == 5);
   auto patch = older;
   patch.revision = 7;
   patch.base_revision = 6;
-  sidecar.say(SidecarFixture::kStore, patch);
+  sidecar.deliver(SidecarFixture::kStore, patch);
   CHECK(sidecar.core.routes()->revision() == 5);
   CHECK(subscriptions() == before + 1);
 }
@@ -58,13 +58,13 @@
 TEST_CASE("a sidecar switches from a store that lost contact with its leader to one that has not") {
   SidecarFixture sidecar;
   const runtime::Address other{"10.0.0.8", 7000};
-  auto beat = sidecar.tellStores({{other, "zone-b"}});
+  auto beat = sidecar.announceStores({{other, "zone-b"}});
   REQUIRE(sidecar.links.contains(other));
   beat.replicas.clear();
-  sidecar.say(other, beat);
+  sidecar.deliver(other, beat);
   beat.is_current = false;
   sidecar.sent.clear();
-  sidecar.say(SidecarFixture::kStore, beat);
+  sidecar.deliver(SidecarFixture::kStore, beat);
   const auto subscriptions =
       std::count_if(sidecar.sent.begin(), sidecar.sent.end(), [&](const auto& message) {
         return message.link == sidecar.links.at(other) && message.message->body.AsNodeSubscribe() != nullptr;
@@ -75,20 +75,20 @@
 TEST_CASE("a store that sent nothing while another was the source gets time to respond once it is chosen") {
   SidecarFixture sidecar;
   const runtime::Address other{"10.0.0.8", 7000};
-  auto beat = sidecar.tellStores({{other, "zone-b"}});
+  auto beat = sidecar.announceStores({{other, "zone-b"}});
   beat.replicas.clear();
-  sidecar.say(other, beat);
+  sidecar.deliver(other, beat);
   for (int i = 0; i < 50; ++i) {
-    sidecar.pass(milliseconds(200));
-    sidecar.say(SidecarFixture::kStore, beat);
+    sidecar.advance(milliseconds(200));
+    sidecar.deliver(SidecarFixture::kStore, beat);
   }
   beat.is_current = false;
-  sidecar.say(SidecarFixture::kStore, beat);
+  sidecar.deliver(SidecarFixture::kStore, beat);
   sidecar.sent.clear();
-  sidecar.pass(milliseconds(1'000));
+  sidecar.advance(milliseconds(1'000));
   const auto link = sidecar.links.at(other);
   beat.is_current = true;
-  sidecar.say(other, beat);
+  sidecar.deliver(other, beat);
   CHECK(sidecar.links.at(other) == link);
 }
 
@@ -97,12 +97,12 @@
 TEST_CASE("a silent source is replaced by a store whose last heartbeat has a revision below the active one") {
   SidecarFixture sidecar;
   const runtime::Address other{"10.0.0.8", 7000};
-  auto beat = sidecar.tellStores({{SidecarFixture::kStore, "zone-a"}, {other, "zone-b"}});
+  auto beat = sidecar.announceStores({{SidecarFixture::kStore, "zone-a"}, {other, "zone-b"}});
   beat.replicas.clear();
-  sidecar.say(other, beat);
+  sidecar.deliver(other, beat);
   sidecar.configure(5);
   sidecar.sent.clear();
-  sidecar.pass(std::chrono::seconds(3));
+  sidecar.advance(std::chrono::seconds(3));
   const auto subscribed_to = [&sidecar](const runtime::Address& store) {
     return std::any_of(sidecar.sent.begin(), sidecar.sent.end(), [&](const auto& message) {
       const auto* request = message.message->body.AsNodeSubscribe();
@@ -112,10 +112,10 @@
   SECTION("if the other store sends nothing newer") {}
   SECTION("but not if the other store now reports a lower revision") {
     beat.revision = 4;
-    sidecar.say(other, beat);
+    sidecar.deliver(other, beat);
     sidecar.sent.clear();
-    sidecar.say(other, beat);
-    sidecar.pass(milliseconds(300));
+    sidecar.deliver(other, beat);
+    sidecar.advance(milliseconds(300));
     CHECK_FALSE(subscribed_to(other));
     return;
   }
@@ -127,7 +127,7 @@
 TEST_CASE("after a partition a sidecar waits for a store of its own zone before it chooses another") {
   SidecarFixture sidecar;
   const runtime::Address own_zone_store{"10.0.0.8", 7000};
-  auto beat = sidecar.tellStores({{SidecarFixture::kStore, "zone-b"}, {own_zone_store, "zone-a"}});
+  auto beat = sidecar.announceStores({{SidecarFixture::kStore, "zone-b"}, {own_zone_store, "zone-a"}});
   sidecar.configure();
   const auto subscriptions_to = [&sidecar](const runtime::Address& store) {
     return std::count_if(sidecar.sent.begin(), sidecar.sent.end(), [&](const auto& message) {
@@ -139,18 +139,18 @@
     sidecar.core.onLinkClosed(sidecar.links.at(store), sidecar.now);
     sidecar.step();
   }
-  sidecar.pass(milliseconds(200));
+  sidecar.advance(milliseconds(200));
   sidecar.sent.clear();
   beat.replicas.clear();
   beat.revision = 1;
-  sidecar.say(SidecarFixture::kStore, beat);
+  sidecar.deliver(SidecarFixture::kStore, beat);
   CHECK(subscriptions_to(SidecarFixture::kStore) == 0);
   SECTION("chooses the own zone's store when it connects") {
-    sidecar.say(own_zone_store, beat);
+    sidecar.deliver(own_zone_store, beat);
     CHECK(subscriptions_to(own_zone_store) == 1);
   }
   SECTION("chooses the other store if the own zone's does not connect") {
-    sidecar.pass(milliseconds(600));
+    sidecar.advance(milliseconds(600));
     CHECK(subscriptions_to(SidecarFixture::kStore) == 1);
   }
 }
@@ -164,7 +164,7 @@
   sidecar.call("/read/1", std::chrono::seconds(60));
   sidecar.core.beginStop(sidecar.now);
   sidecar.step();
-  sidecar.pass(options.stop_time_limit - SidecarOptions::kStopReserve + milliseconds(60));
+  sidecar.advance(options.stop_time_limit - SidecarOptions::kStopReserve + milliseconds(60));
   CHECK(sidecar.core.stopped());
 }
 
@@ -174,7 +174,7 @@
   const auto options = SidecarFixture::makeOptions();
   SidecarFixture sidecar(options);
   sidecar.configure();
-  sidecar.core.onHeartbeat(SidecarFixture::makeBeat("t1", 1), sidecar.now);
+  sidecar.core.onHeartbeat(SidecarFixture::makeHeartbeat("t1", 1), sidecar.now);
   sidecar.step();
   const auto runs = [&sidecar] { return sidecar.target.orders.size(); };
   const auto finish = [&sidecar] {
@@ -197,17 +197,17 @@
   sidecar.core.beginStop(sidecar.now);
   sidecar.step();
   CHECK_FALSE(sidecar.core.ready());
-  sidecar.pass(options.stop_minimum - milliseconds(800));
+  sidecar.advance(options.stop_minimum - milliseconds(800));
   CHECK(withdrawals() == 0);
   sidecar.call("/read/2");
   CHECK(runs() == 2);
   finish();
   // The gate closes two usual run times before the end of the stop, after the withdrawal was published.
-  sidecar.pass(milliseconds(500));
+  sidecar.advance(milliseconds(500));
   CHECK(withdrawals() > 0);
   sidecar.call("/read/3");
   CHECK(runs() == 2);
-  sidecar.pass(milliseconds(400));
+  sidecar.advance(milliseconds(400));
   CHECK(sidecar.core.stopped());
 }
 
@@ -215,7 +215,7 @@
   SidecarFixture sidecar;
   const runtime::Address later_seed{"10.0.0.77", 7000};
   sidecar.core.setSeeds({later_seed}, sidecar.now);
-  sidecar.pass(milliseconds(10));
+  sidecar.advance(milliseconds(10));
   CHECK(sidecar.links.contains(later_seed));
 }
 
--- a/tests/sidecar/sidecar_fixture.h
+++ b/tests/sidecar/sidecar_fixture.h
@@ -18,14 +18,14 @@
 /// Records what a sidecar sends to its target.
 class RecordingTarget : public TargetPort {
  public:
-  void run(RunOrder order) override { orders.push_back(std::move(order)); }
-  void askHealth(const std::string& path) override { asked.push_back(path); }
+  void run(RunRequest order) override { orders.push_back(std::move(order)); }
+  void requestHealth(const std::string& path) override { health_checks.push_back(path); }
   void probe() override { ++probes; }
   void cancel(RunId id) override { cancelled.push_back(id); }
 
-  std::vector<RunOrder> orders;
+  std::vector<RunRequest> orders;
   std::vector<RunId> cancelled;
-  std::vector<std::string> asked;
+  std::vector<std::string> health_checks;
   unsigned probes = 0;
 };
 
@@ -81,7 +81,7 @@
   }
 
   /// Advances the time and fires the timers that are due.
-  void pass(Duration time) {
+  void advance(Duration time) {
     const TimePoint end = now + time;
     while (core.nextTimer() <= end) {
       now = std::max(now, core.nextTimer());
@@ -93,7 +93,7 @@
 
   /// Delivers a message to the sidecar over the link of `from`.
   template <typename Message>
-  void say(const runtime::Address& from, Message message, std::uint64_t request_id = 0) {
+  void deliver(const runtime::Address& from, Message message, std::uint64_t request_id = 0) {
     core.onMessage(links.at(from), runtime::makeEnvelope(std::move(message), request_id), now);
     step();
   }
@@ -104,7 +104,7 @@
   };
 
   /// Announces the stores through kStore, so that the sidecar connects to them. @return the heartbeat sent.
-  wire::StoreBeatT tellStores(const std::vector<NamedStore>& stores) {
+  wire::StoreBeatT announceStores(const std::vector<NamedStore>& stores) {
     wire::StoreBeatT beat;
     beat.is_current = true;
     for (const auto& named : stores) {
@@ -114,7 +114,7 @@
       store->zone = named.zone;
       beat.replicas.push_back(std::move(store));
     }
-    say(kStore, beat);
+    deliver(kStore, beat);
     core.onTimer(now);
     step();
     return beat;
@@ -150,11 +150,11 @@
     wire::StoreBeatT beat;
     beat.is_current = true;
     beat.revision = revision;
-    say(kStore, beat);
+    deliver(kStore, beat);
     wire::MeshUpdateT update;
     update.revision = revision;
     update.configuration = mesh::compress(mesh::encodeConfiguration(configuration));
-    say(kStore, update);
+    deliver(kStore, update);
   }
 
   void addPeer(const runtime::Address& address, wire::EndpointState state = wire::EndpointState::Live,
@@ -169,12 +169,12 @@
     record->state = state;
     record->slots = 2;
     update.records.push_back(record);
-    say(kStore, update);
+    deliver(kStore, update);
     core.onTimer(now);
     step();
   }
 
-  static Heartbeat makeBeat(const std::string& instance, std::uint64_t sequence, bool ready = true) {
+  static Heartbeat makeHeartbeat(const std::string& instance, std::uint64_t sequence, bool ready = true) {
     Heartbeat beat;
     beat.incarnation.id = instance;
     beat.service = "shop";
@@ -213,7 +213,7 @@
     wire::ForwardReplyT answer;
     answer.outcome = outcome;
     answer.status = 200;
-    say(from, answer, number);
+    deliver(from, answer, number);
   }
 
   RecordingTarget target;
--- a/tests/sidecar/target_gate_test.cpp
+++ b/tests/sidecar/target_gate_test.cpp
@@ -11,8 +11,8 @@
 class GateFixture {
  public:
   GateFixture()
-      : gate(options, target, quarantine, [this](const GateAsker& asker, wire::ForwardReplyT reply) {
-          const bool is_first = replies.emplace(asker.request_id, std::move(reply)).second;
+      : gate(options, target, quarantine, [this](const GateRequester& requester, wire::ForwardReplyT reply) {
+          const bool is_first = replies.emplace(requester.request_id, std::move(reply)).second;
           REQUIRE(is_first);
         }) {}
 
@@ -54,7 +54,7 @@
 
 TEST_CASE("a target has at most one request per slot in flight, and the most urgent queued one is next") {
   GateFixture fixture;
-  fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 1), fixture.now);
+  fixture.gate.target().onHeartbeat(SidecarFixture::makeHeartbeat("a", 1), fixture.now);
   for (std::uint64_t number = 1; number <= 3; ++number) fixture.admit(number, 2);
   fixture.admit(4, 1);
   REQUIRE(fixture.target.orders.size() == 2);
@@ -66,7 +66,7 @@
 
 TEST_CASE("a request whose queue time limit expires is refused as not run") {
   GateFixture fixture;
-  fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 1), fixture.now);
+  fixture.gate.target().onHeartbeat(SidecarFixture::makeHeartbeat("a", 1), fixture.now);
   for (std::uint64_t number = 1; number <= 3; ++number) fixture.admit(number);
   fixture.now = fixture.gate.nextTimer();
   fixture.gate.onTimer(fixture.now);
@@ -77,13 +77,13 @@
 
 TEST_CASE("a target that shuts down gets no requests after the grace period, and never becomes ready again") {
   GateFixture fixture;
-  fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 5), fixture.now);
-  fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 7, false), fixture.now);
+  fixture.gate.target().onHeartbeat(SidecarFixture::makeHeartbeat("a", 5), fixture.now);
+  fixture.gate.target().onHeartbeat(SidecarFixture::makeHeartbeat("a", 7, false), fixture.now);
   fixture.admit(1);
   CHECK(fixture.target.orders.size() == 1);
   // One heartbeat from before the shutdown arrives late; another, after it, wrongly reports ready.
-  fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 6), fixture.now);
-  fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 8), fixture.now);
+  fixture.gate.target().onHeartbeat(SidecarFixture::makeHeartbeat("a", 6), fixture.now);
+  fixture.gate.target().onHeartbeat(SidecarFixture::makeHeartbeat("a", 8), fixture.now);
   fixture.now += fixture.options.leaving_grace;
   fixture.admit(2);
   CHECK(fixture.target.orders.size() == 1);
@@ -92,7 +92,7 @@
 
 TEST_CASE("a target that only deregisters gets no requests after the grace period") {
   GateFixture fixture;
-  fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 1), fixture.now);
+  fixture.gate.target().onHeartbeat(SidecarFixture::makeHeartbeat("a", 1), fixture.now);
   fixture.gate.target().onDeregistered({"a"}, fixture.now);
   fixture.now += fixture.options.leaving_grace;
   fixture.admit(1);
@@ -102,9 +102,9 @@
 TEST_CASE("heartbeats of a replaced instance are ignored") {
   GateFixture fixture;
   auto& state = fixture.gate.target();
-  state.onHeartbeat(SidecarFixture::makeBeat("a", 9), fixture.now);
-  state.onHeartbeat(SidecarFixture::makeBeat("b", 1), fixture.now);
-  CHECK_FALSE(state.onHeartbeat(SidecarFixture::makeBeat("a", 10, false), fixture.now));
+  state.onHeartbeat(SidecarFixture::makeHeartbeat("a", 9), fixture.now);
+  state.onHeartbeat(SidecarFixture::makeHeartbeat("b", 1), fixture.now);
+  CHECK_FALSE(state.onHeartbeat(SidecarFixture::makeHeartbeat("a", 10, false), fixture.now));
   CHECK(state.incarnation().id == "b");
   CHECK(state.condition() == TargetCondition::Ready);
 }
@@ -113,12 +113,12 @@
     "a target that answers as another instance gets no requests until that instance sends a heartbeat") {
   GateFixture fixture;
   auto& state = fixture.gate.target();
-  state.onHeartbeat(SidecarFixture::makeBeat("a", 1), fixture.now);
-  CHECK(state.onOtherId("a"));
+  state.onHeartbeat(SidecarFixture::makeHeartbeat("a", 1), fixture.now);
+  CHECK(state.onIdMismatch("a"));
   fixture.admit(1);
   CHECK(fixture.target.orders.empty());
-  CHECK_FALSE(state.onHeartbeat(SidecarFixture::makeBeat("a", 2), fixture.now));
-  state.onHeartbeat(SidecarFixture::makeBeat("b", 1), fixture.now);
+  CHECK_FALSE(state.onHeartbeat(SidecarFixture::makeHeartbeat("a", 2), fixture.now));
+  state.onHeartbeat(SidecarFixture::makeHeartbeat("b", 1), fixture.now);
   fixture.admit(2);
   CHECK(fixture.target.orders.size() == 1);
 }
@@ -127,7 +127,7 @@
 // incident.
 TEST_CASE("the gate reports the failure rate of its target, and a failing endpoint is chosen last") {
   GateFixture fixture;
-  fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 1), fixture.now);
+  fixture.gate.target().onHeartbeat(SidecarFixture::makeHeartbeat("a", 1), fixture.now);
   for (std::uint64_t number = 1; number <= 20; ++number) {
     fixture.admit(number);
     RunResult result;
@@ -141,7 +141,7 @@
   sidecar.configure();
   sidecar.addPeer(SidecarFixture::kPeer);
   sidecar.addPeer(SidecarFixture::kOtherPeer);
-  sidecar.say(SidecarFixture::kPeer, reply, 0);
+  sidecar.deliver(SidecarFixture::kPeer, reply, 0);
   for (int i = 0; i < 2; ++i) sidecar.call("/write/1");
   CHECK(sidecar.forwardsTo(SidecarFixture::kPeer).empty());
   CHECK(sidecar.forwardsTo(SidecarFixture::kOtherPeer).size() == 2);
@@ -149,7 +149,7 @@
 
 TEST_CASE("the gate reports its target's run time as a share of the requests' objectives") {
   GateFixture fixture;
-  fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 1), fixture.now);
+  fixture.gate.target().onHeartbeat(SidecarFixture::makeHeartbeat("a", 1), fixture.now);
   fixture.admit(1);
   fixture.now += milliseconds(200);
   fixture.finish(0);
@@ -169,7 +169,7 @@
 TEST_CASE("at most a third of the slots are reserved from long requests") {
   constexpr std::uint32_t kDeadline = 6'000;
   GateFixture fixture;
-  auto beat = SidecarFixture::makeBeat("a", 1);
+  auto beat = SidecarFixture::makeHeartbeat("a", 1);
   beat.slots = 6;
   fixture.gate.target().onHeartbeat(beat, fixture.now);
   // 100 requests per second of 100 ms each, far more than the slots can serve; all have ended before the
@@ -194,7 +194,7 @@
   constexpr std::uint32_t kLong = 2'500;
   constexpr std::uint32_t kDeadline = 6'000;
   GateFixture fixture;
-  auto beat = SidecarFixture::makeBeat("a", 1);
+  auto beat = SidecarFixture::makeHeartbeat("a", 1);
   beat.slots = 6;
   fixture.gate.target().onHeartbeat(beat, fixture.now);
   // 20 requests per second of 100 ms each occupy two slots.
@@ -222,7 +222,7 @@
 
 TEST_CASE("a request for another service is refused as not run") {
   GateFixture fixture;
-  auto beat = SidecarFixture::makeBeat("a", 1);
+  auto beat = SidecarFixture::makeHeartbeat("a", 1);
   beat.service = "other";
   fixture.gate.target().onHeartbeat(beat, fixture.now);
   fixture.admit(1);
@@ -231,7 +231,7 @@
 
 TEST_CASE("queued and running requests of a closed link are cancelled") {
   GateFixture fixture;
-  fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 1), fixture.now);
+  fixture.gate.target().onHeartbeat(SidecarFixture::makeHeartbeat("a", 1), fixture.now);
   for (std::uint64_t number = 1; number <= 3; ++number) fixture.admit(number);
   fixture.gate.cancelLink(runtime::LinkId{1}, fixture.now);
   CHECK(fixture.target.cancelled.size() == 2);
@@ -241,7 +241,7 @@
 
 TEST_CASE("a run without a result is cancelled shortly after its deadline, with an unknown outcome") {
   GateFixture fixture;
-  fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 1), fixture.now);
+  fixture.gate.target().onHeartbeat(SidecarFixture::makeHeartbeat("a", 1), fixture.now);
   fixture.admit(1, 1, 100);
   fixture.now += milliseconds(110);
   fixture.gate.onTimer(fixture.now);
@@ -255,7 +255,7 @@
 TEST_CASE(
     "a request with a shorter queue time limit is served before others of its priority and not refused") {
   GateFixture fixture;
-  fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 1), fixture.now);
+  fixture.gate.target().onHeartbeat(SidecarFixture::makeHeartbeat("a", 1), fixture.now);
   // A run takes 100 ms, so a request behind three others would wait longer than its limit.
   for (std::uint64_t number = 1; number <= 2; ++number) fixture.admit(number);
   fixture.now += milliseconds(100);
@@ -277,7 +277,7 @@
   constexpr std::uint32_t kDeadline = 6'000;
   GateFixture fixture;
   fixture.patience_ms = 20;
-  auto beat = SidecarFixture::makeBeat("a", 1);
+  auto beat = SidecarFixture::makeHeartbeat("a", 1);
   beat.slots = 2;
   fixture.gate.target().onHeartbeat(beat, fixture.now);
   fixture.admit(1, 1, kDeadline, 200);
@@ -298,7 +298,7 @@
 TEST_CASE("a request that no other yields to waits no longer than its sender's limit") {
   GateFixture fixture;
   fixture.patience_ms = 20;
-  fixture.gate.target().onHeartbeat(SidecarFixture::makeBeat("a", 1), fixture.now);
+  fixture.gate.target().onHeartbeat(SidecarFixture::makeHeartbeat("a", 1), fixture.now);
   for (std::uint64_t number = 1; number <= 3; ++number) fixture.admit(number);
   fixture.now += milliseconds(21);
   fixture.gate.onTimer(fixture.now);
@@ -308,7 +308,7 @@
 namespace {
 
 Heartbeat makeHeartbeat(std::uint64_t born_ms, std::uint64_t sequence, bool is_ready = true) {
-  auto beat = SidecarFixture::makeBeat("a", sequence, is_ready);
+  auto beat = SidecarFixture::makeHeartbeat("a", sequence, is_ready);
   beat.incarnation.born_ms = born_ms;
   return beat;
 }
@@ -369,7 +369,7 @@
     CHECK_FALSE(state.onHeartbeat(makeHeartbeat(1'500, sequence), now));
   }
   // A single delayed heartbeat is not enough, and neither is the same one again.
-  now += TargetState::kSilence;
+  now += TargetState::kHeartbeatTimeout;
   CHECK_FALSE(state.onHeartbeat(makeHeartbeat(1'500, 3), now));
   CHECK_FALSE(state.onHeartbeat(makeHeartbeat(1'400, 9), now));
   CHECK_FALSE(state.onHeartbeat(makeHeartbeat(1'500, 4), now));
@@ -382,7 +382,7 @@
           "[incarnation]") {
   TargetState state;
   const TimePoint now{std::chrono::seconds(100)};
-  REQUIRE(state.onReadyWhenAsked("a", "shop", 2));
+  REQUIRE(state.onHealthCheckPassed("a", "shop", 2));
   state.onHeartbeat(makeHeartbeat(1'000, 3), now);
   CHECK(state.incarnation().born_ms == 1'000);
   CHECK(state.condition() == TargetCondition::Ready);
--- a/tests/sidecar/target_watch_test.cpp
+++ b/tests/sidecar/target_watch_test.cpp
@@ -85,8 +85,8 @@
 
 TEST_CASE_METHOD(WatchFixture,
                  "a run that was cancelled shortly before a broken run may have crashed the target") {
-  watch.onGivenUp(makeRequest("old"), now - std::chrono::seconds(2));
-  watch.onGivenUp(makeRequest("cancelled"), now - milliseconds(100));
+  watch.onCancelled(makeRequest("old"), now - std::chrono::seconds(2));
+  watch.onCancelled(makeRequest("cancelled"), now - milliseconds(100));
   watch.onBroken(makeRequest("broken"), {"a"}, now);
   const auto end = watch.onProbed(ProbeOutcome::Refused, now);
   REQUIRE(end);
--- a/tests/sidecar/tenant_test.cpp
+++ b/tests/sidecar/tenant_test.cpp
@@ -9,7 +9,7 @@
  public:
   TenantFixture() {
     configure(1, makeTenantConfiguration());
-    auto beat = makeBeat("a", 1);
+    auto beat = makeHeartbeat("a", 1);
     beat.slots = 10;
     core.onHeartbeat(beat, now);
     step();
@@ -74,7 +74,7 @@
     share->granted = granted;
     share->retry_after_ms = retry_after_ms;
     store_reply.shares.push_back(share);
-    say(kStore, store_reply);
+    deliver(kStore, store_reply);
   }
 
  private:
@@ -200,9 +200,9 @@
   takeQuotaRequests();
   const auto first = sendCall("bound-key");
   CHECK(isPending(first));
-  pass(TenantQuota::kMaxTokenWait);
+  advance(TenantQuota::kMaxTokenWait);
   CHECK(outcomeOf(first) == CallOutcome::OverQuota);
-  pass(milliseconds(300));
+  advance(milliseconds(300));
   std::size_t refused_at_once = 0;
   for (int i = 0; i < 20; ++i) {
     if (!isPending(sendCall("bound-key"))) ++refused_at_once;
@@ -214,7 +214,7 @@
 TEST_CASE_METHOD(TenantFixture,
                  "a token request to a store that is not the leader is repeated to the leader that it names",
                  "[tenant]") {
-  tellStores({{kStore, "zone-a"}, {kOtherPeer, "zone-b"}});
+  announceStores({{kStore, "zone-a"}, {kOtherPeer, "zone-b"}});
   takeQuotaRequests();
   sendCall("bound-key");
   const auto quota_request = takeQuotaRequests().front();
@@ -223,8 +223,8 @@
   store_reply.leader = std::make_shared<wire::NetworkEndpointT>();
   store_reply.leader->host = kOtherPeer.host;
   store_reply.leader->port = kOtherPeer.port;
-  say(kStore, store_reply);
-  pass(milliseconds(20));
+  deliver(kStore, store_reply);
+  advance(milliseconds(20));
   const auto link = links.at(kOtherPeer);
   const auto is_requested = std::any_of(sent.begin(), sent.end(), [link](const auto& item) {
     return item.link == link && item.message->body.AsQuotaRequest() != nullptr;
--- a/tests/sidecar/zone_health_test.cpp
+++ b/tests/sidecar/zone_health_test.cpp
@@ -46,7 +46,7 @@
 
   Endpoint& at(const std::string& zone, int index) { return *directory.find(address(zone, index)); }
 
-  void endLink(const std::string& zone, int index) { directory.noteUnlinked(address(zone, index), now); }
+  void endLink(const std::string& zone, int index) { directory.noteLinkFailed(address(zone, index), now); }
 
   /// Sends the endpoint a request to which it does not reply.
   void sendUnanswered(const std::string& zone, int index) {
@@ -58,10 +58,10 @@
   }
 
   Endpoint* choose(bool may_repeat = true) {
-    EndpointWant want;
-    want.service = "shop";
-    want.may_repeat = may_repeat;
-    return directory.choose(want, {}, random, now);
+    EndpointCriteria criteria;
+    criteria.service = "shop";
+    criteria.may_repeat = may_repeat;
+    return directory.choose(criteria, {}, random, now);
   }
 
   /// @return the zones of the endpoints selected in kSelections selections.
@@ -247,7 +247,7 @@
   }
   REQUIRE(sidecar.callers.answers.contains(first));
   for (int i = 0; i < 4; ++i) sidecar.call("/write/1");
-  sidecar.pass(milliseconds(600));
+  sidecar.advance(milliseconds(600));
   const auto refused = sidecar.call("/write/1");
   REQUIRE(sidecar.callers.answers.contains(refused));
   CHECK(sidecar.callers.answers.at(refused).outcome == CallOutcome::NotRun);
