--- a/tests/rollout/rollout_mesh.cpp
+++ b/tests/rollout/rollout_mesh.cpp
@@ -194,7 +194,7 @@
   return matches_time && matches_load && matches_route;
 }
 
-void RolloutMesh::Machine::run(sidecar::RunOrder order) {
+void RolloutMesh::Machine::run(sidecar::RunRequest order) {
   running.insert(order.id);
   mesh->recordRunStart(*this);
   const bool is_faulty = mesh->isFaultyRun(*this, *order.request);
