--- a/src/store/quota_register.h
+++ b/src/store/quota_register.h
@@ -7,20 +7,21 @@
 
 namespace cometstand::store {
 
-/// What a record of a leadership came to: how many leaderships, that one among them, may have tokens in use.
+/// Result of applying a leadership record.
 struct QuotaLeadershipResult {
+  /// Number of leaderships, including the recorded one, whose tokens may be in use.
   std::uint32_t live = 0;
 };
 
-/// Which leaderships may have tokens of tenants in use. Part of the replicated state, so that a leader that
-/// has just started knows it, too: each leadership is recorded before it gives its first token, and again
-/// once all tokens of those before it are void. Decides from the accepted records alone, and never looks at a
-/// clock. A record that comes again changes nothing.
+/// Tracks which leaderships may have tenants' tokens in use. It is part of the replicated state so that a
+/// leader that has just started knows it, too. Each leadership is recorded before it grants its first token,
+/// and again once all tokens of earlier leaderships have expired. Applying a record is deterministic, reads
+/// no clock and is idempotent.
 class QuotaRegister {
  public:
   QuotaLeadershipResult apply(const wire::QuotaLeadershipT& record);
 
-  /// @return the state; nullptr if no leadership was recorded.
+  /// @return the state; nullptr if no leadership has been recorded.
   std::shared_ptr<wire::QuotaLeadershipStateT> capture() const;
   void restore(const std::shared_ptr<wire::QuotaLeadershipStateT>& state);
 
--- a/src/store/quota_service.cpp
+++ b/src/store/quota_service.cpp
@@ -13,7 +13,7 @@
 namespace cometstand::store {
 namespace {
 
-constexpr Duration kRecordRetry = std::chrono::milliseconds(50);
+constexpr Duration kRecordRetryDelay = std::chrono::milliseconds(50);
 
 std::map<std::string, QuotaLimit> limitsOf(const wire::MeshConfigurationT& configuration) {
   std::map<std::string, QuotaLimit> limits;
@@ -29,59 +29,61 @@
 QuotaService::QuotaService(StoreContext& context) : context_(context), ledger_(context.options.quota) {}
 
 void QuotaService::onRequest(runtime::LinkId link, const wire::QuotaRequestT& request, TimePoint now) {
-  auto answer = ledger_.onRequest(link, request, now);
+  auto response = ledger_.onRequest(link, request, now);
   const auto leader = ledger_.isLeading() ? std::nullopt : context_.otherLeader();
   if (leader) {
-    answer.leader = std::make_shared<wire::NetworkEndpointT>();
-    answer.leader->host = leader->host;
-    answer.leader->port = leader->port;
+    response.leader = std::make_shared<wire::NetworkEndpointT>();
+    response.leader->host = leader->host;
+    response.leader->port = leader->port;
   }
-  context_.actions.send(link, std::move(answer), 0);
+  context_.actions.send(link, std::move(response), 0);
 }
 
 void QuotaService::onLeadership(const consensus::Leadership& leadership, TimePoint now) {
   const bool leads = leadership.role == consensus::Role::Leader;
-  if (leads && leading_ && leading_->term == leadership.term) return;
-  ledger_.end();
-  leading_.reset();
-  if (leads) leading_ = Leading{leadership.term, now, 0};
+  if (leads && leadership_ && leadership_->term == leadership.term) return;
+  ledger_.endLeadership();
+  leadership_.reset();
+  if (leads) leadership_ = LeadershipState{leadership.term, now, 0};
 }
 
-TimePoint QuotaService::recordDue() const {
-  if (!leading_ || !has_limits_ || !proposals_.idle() || leading_->live == 1) return TimePoint::max();
-  const bool is_recorded = leading_->live > 0;
-  return is_recorded ? std::max(retry_at_, leading_->since + QuotaLedger::kGenerationTime) : retry_at_;
+TimePoint QuotaService::nextRecordTime() const {
+  if (!leadership_ || !has_limits_ || !proposals_.idle() || leadership_->live == 1) return TimePoint::max();
+  const bool is_recorded = leadership_->live > 0;
+  return is_recorded ? std::max(retry_at_, leadership_->since + QuotaLedger::kGenerationExpiry) : retry_at_;
 }
 
 void QuotaService::step(TimePoint now) {
-  if (now < recordDue()) return;
-  const bool earlier_are_void = leading_->live > 0;
-  record(earlier_are_void, now);
+  if (now < nextRecordTime()) return;
+  const bool earlier_are_void = leadership_->live > 0;
+  proposeRecord(earlier_are_void, now);
 }
 
-void QuotaService::record(bool earlier_are_void, TimePoint now) {
+void QuotaService::proposeRecord(bool earlier_are_void, TimePoint now) {
   wire::QuotaLeadershipT record;
-  record.generation = leading_->term;
+  record.generation = leadership_->term;
   record.earlier_are_void = earlier_are_void;
-  const auto on_recorded = [this, term = leading_->term](const CommandResult* result) {
+  const auto on_recorded = [this, term = leadership_->term](const CommandResult* result) {
     onRecorded(term, result);
   };
-  // While leadership is handed over nothing is taken.
-  if (!proposals_.propose(record, on_recorded, now)) retry_at_ = now + kRecordRetry;
+  // Proposals are rejected during a leadership transfer.
+  if (!proposals_.propose(record, on_recorded, now)) retry_at_ = now + kRecordRetryDelay;
 }
 
 void QuotaService::onRecorded(consensus::Term term, const CommandResult* result) {
-  const bool is_current = leading_ && leading_->term == term;
+  const bool is_current = leadership_ && leadership_->term == term;
   if (!is_current || result == nullptr) return;
-  const bool is_first = leading_->live == 0;
-  leading_->live = std::get<QuotaLeadershipResult>(*result).live;
-  if (is_first) ledger_.begin(term, leading_->live, leading_->since);
-  logEvent(kQuotaBegan, {{"generation", term}, {"live", leading_->live}});
+  const bool is_first = leadership_->live == 0;
+  leadership_->live = std::get<QuotaLeadershipResult>(*result).live;
+  if (is_first) ledger_.beginLeadership(term, leadership_->live, leadership_->since);
+  logEvent(kQuotaBegan, {{"generation", term}, {"live", leadership_->live}});
 }
 
-TimePoint QuotaService::nextTimer() const { return std::min(recordDue(), proposals_.nextTimer()); }
+TimePoint QuotaService::nextTimer() const { return std::min(nextRecordTime(), proposals_.nextTimer()); }
 
-void QuotaService::onQuorumRound(const consensus::QuorumRound& round) { ledger_.confirm(round.began_at); }
+void QuotaService::onQuorumRound(const consensus::QuorumRound& round) {
+  ledger_.confirmLeadership(round.began_at);
+}
 
 void QuotaService::refreshLimits(TimePoint now) {
   const auto& mesh = context_.state.mesh();
@@ -92,7 +94,7 @@
     has_limits_ = !limits.empty();
     ledger_.setLimits(std::move(limits), now);
   } catch (const Error& error) {
-    // Sidecars cannot read it either, and go on by the one before.
+    // Sidecars cannot decode this revision either and keep using the previous one.
     logEvent(kQuotaUnreadable, {{"revision", revision_}, {"reason", error.what()}});
   }
 }
--- a/src/store/quota_service.h
+++ b/src/store/quota_service.h
@@ -8,28 +8,28 @@
 
 namespace cometstand::store {
 
-/// Hands out tenants' tokens while this replica leads; all others name the leader.
+/// Grants tenants' tokens while this replica is the leader. Other replicas respond with the leader's address.
 ///
-/// A leadership is recorded in the replicated state before it gives its first token, and once those of all
-/// before it are void. So a leader gives some at once whatever it has seen itself, also after all replicas
-/// have started again: without the record it could only wait until whatever may have been given is void.
-/// Nothing is recorded while no tenant has a limit.
+/// A leadership is recorded in the replicated state before it grants its first token, and again once all
+/// tokens of earlier leaderships have expired. A new leader can therefore grant some tokens immediately, even
+/// after all replicas have restarted; without the record it would have to wait until every token that may
+/// have been granted has expired. Nothing is recorded while no tenant has a limit.
 class QuotaService {
  public:
   explicit QuotaService(StoreContext& context);
 
-  /// Answers at once.
+  /// Responds immediately.
   void onRequest(runtime::LinkId link, const wire::QuotaRequestT& request, TimePoint now);
   void onLeadership(const consensus::Leadership& leadership, TimePoint now);
   void onLeadershipLost() { proposals_.onLeadershipLost(); }
   void onQuorumRound(const consensus::QuorumRound& round);
-  /// To be called after each entry was applied.
+  /// Must be called after each log entry is applied.
   void onApplied(const wire::LogEntryT& entry, const std::vector<CommandResult>& results) {
     proposals_.onApplied(entry, results);
   }
-  /// The mesh configuration may have changed.
+  /// Reads the limits again if the mesh configuration has changed.
   void refreshLimits(TimePoint now);
-  /// Has recorded what is due.
+  /// Proposes the next leadership record if it is due.
   void step(TimePoint now);
   void onTimer(TimePoint now) { proposals_.onTimer(now); }
   TimePoint nextTimer() const;
@@ -37,27 +37,27 @@
   const QuotaLedger& ledger() const { return ledger_; }
 
  private:
-  /// This replica's leadership.
-  struct Leading {
+  /// Leadership of this replica.
+  struct LeadershipState {
     consensus::Term term = 0;
     TimePoint since;
-    /// As recorded; 0 before.
+    /// Number of live leaderships returned by the latest record; 0 before the first one.
     std::uint32_t live = 0;
   };
 
-  /// @return when the next record is due; TimePoint::max() for never.
-  TimePoint recordDue() const;
-  void record(bool earlier_are_void, TimePoint now);
+  /// @return the time at which the next record is due; TimePoint::max() if none is.
+  TimePoint nextRecordTime() const;
+  void proposeRecord(bool earlier_are_void, TimePoint now);
   void onRecorded(consensus::Term term, const CommandResult* result);
 
   StoreContext& context_;
   QuotaLedger ledger_;
   ProposalWaits proposals_{context_};
-  std::optional<Leading> leading_;
-  /// After a record that could not be proposed.
+  std::optional<LeadershipState> leadership_;
+  /// Earliest time of the next attempt after a record could not be proposed.
   TimePoint retry_at_;
   bool has_limits_ = false;
-  /// Whose limits the ledger has.
+  /// Revision of the mesh configuration from which the ledger has its limits.
   std::uint64_t revision_ = 0;
 };
 
--- a/src/store/rollout_analysis.cpp
+++ b/src/store/rollout_analysis.cpp
@@ -9,35 +9,36 @@
 namespace cometstand::store {
 namespace {
 
-/// Of the old version's runs, the share that is faster than the bound for poor ones.
-constexpr double kUsualShare = 0.9;
-/// Buckets are half a power of two wide: a run is slow one bucket above the usual ones, that is 1.4 to 2
-/// times as long as the slowest tenth begins.
-constexpr std::size_t kSlowBuckets = 1;
-/// A version is not harmful if this much more of its runs are poor than of the old version's: targets differ
-/// in speed and in the requests they get.
-constexpr double kToleratedHarm = 0.04;
-/// A bad version has at least so many more poor runs.
-constexpr double kLeastHarm = 0.2;
-/// Chances of calling a good version bad on one route, and of the opposite, where the assumptions hold.
-constexpr double kFalseAlarm = 1e-4;
-constexpr double kMissed = 1e-3;
-/// A route with fewer runs of the old version is compared with all of that version's routes together.
-constexpr std::uint64_t kLeastStableRuns = 30;
-/// Runs of a route by the new version below which the route is too rare to wait for.
-constexpr double kRareShare = 0.02;
+/// Quantile of the stable version's run times above which a run is a candidate for a slow run.
+constexpr double kSlowQuantile = 0.9;
+/// Number of buckets above that quantile from which a run counts as slow. Buckets are half a power of two
+/// wide, so the threshold for slow runs is 1.4 to 2 times the quantile.
+constexpr std::size_t kSlowBucketOffset = 1;
+/// Increase in the share of poor runs that is still acceptable, because targets differ in speed and in the
+/// requests that they receive.
+constexpr double kToleratedIncrease = 0.04;
+/// Minimum increase in the share of poor runs of a bad version.
+constexpr double kMinHarmfulIncrease = 0.2;
+/// Probability of a bad verdict for a good version on one route, and of a good verdict for a bad version,
+/// provided that the assumptions of the test hold.
+constexpr double kFalsePositiveRate = 1e-4;
+constexpr double kFalseNegativeRate = 1e-3;
+/// A route with fewer runs of the stable version is compared with the sum of all routes of that version.
+constexpr std::uint64_t kMinStableRuns = 30;
+/// Share of the stable version's runs below which a route is too rare to wait for a verdict on it.
+constexpr double kRareRouteShare = 0.02;
 
 double total(const std::vector<std::uint64_t>& counts) {
   return static_cast<double>(std::accumulate(counts.begin(), counts.end(), std::uint64_t{0}));
 }
 
-/// @return the first bucket whose runs count as slow.
-std::size_t slowFrom(const VersionSamples::Route& stable) {
+/// @return the index of the first bucket whose runs count as slow.
+std::size_t firstSlowBucket(const VersionSamples::Route& stable) {
   const double all = total(stable.run_times);
-  double seen = 0;
+  double cumulative = 0;
   for (std::size_t bucket = 0; bucket < stable.run_times.size(); ++bucket) {
-    seen += static_cast<double>(stable.run_times[bucket]);
-    if (seen >= kUsualShare * all) return bucket + 1 + kSlowBuckets;
+    cumulative += static_cast<double>(stable.run_times[bucket]);
+    if (cumulative >= kSlowQuantile * all) return bucket + 1 + kSlowBucketOffset;
   }
   return stable.run_times.size();
 }
@@ -47,17 +48,17 @@
   double all = 0;
 };
 
-PoorRuns poorRuns(const VersionSamples::Route& route, std::size_t slow_from) {
+PoorRuns poorRuns(const VersionSamples::Route& route, std::size_t first_slow) {
   PoorRuns runs;
   runs.all = static_cast<double>(route.ended);
   runs.poor = static_cast<double>(route.failed);
-  for (std::size_t bucket = slow_from; bucket < route.run_times.size(); ++bucket)
+  for (std::size_t bucket = first_slow; bucket < route.run_times.size(); ++bucket)
     runs.poor += static_cast<double>(route.run_times[bucket]);
   runs.poor = std::min(runs.poor, runs.all);
   return runs;
 }
 
-VersionSamples::Route sumOf(const VersionSamples& samples) {
+VersionSamples::Route sumOfRoutes(const VersionSamples& samples) {
   VersionSamples::Route sum;
   for (const auto& [name, route] : samples.routes()) {
     sum.ended += route.ended;
@@ -69,14 +70,16 @@
 }
 
 RolloutVerdict judgeRoute(const PoorRuns& canary, const PoorRuns& stable) {
-  // One run more of each kind: no share is 0 or 1 for certain.
-  const double usual = (stable.poor + 1) / (stable.all + 2);
-  const double good = std::min(usual + kToleratedHarm, 1 - kLeastHarm);
-  const double bad = std::min(usual + kLeastHarm, 1 - kToleratedHarm);
-  const double evidence =
-      canary.poor * std::log(bad / good) + (canary.all - canary.poor) * std::log((1 - bad) / (1 - good));
-  if (evidence >= std::log((1 - kMissed) / kFalseAlarm)) return RolloutVerdict::Bad;
-  if (evidence <= std::log(kMissed / (1 - kFalseAlarm))) return RolloutVerdict::Good;
+  // Adds one poor and one other run so that the estimated share is never exactly 0 or 1.
+  const double baseline = (stable.poor + 1) / (stable.all + 2);
+  const double acceptable = std::min(baseline + kToleratedIncrease, 1 - kMinHarmfulIncrease);
+  const double harmful = std::min(baseline + kMinHarmfulIncrease, 1 - kToleratedIncrease);
+  const double log_likelihood_ratio = canary.poor * std::log(harmful / acceptable) +
+                                      (canary.all - canary.poor) * std::log((1 - harmful) / (1 - acceptable));
+  if (log_likelihood_ratio >= std::log((1 - kFalseNegativeRate) / kFalsePositiveRate))
+    return RolloutVerdict::Bad;
+  if (log_likelihood_ratio <= std::log(kFalseNegativeRate / (1 - kFalsePositiveRate)))
+    return RolloutVerdict::Good;
   return RolloutVerdict::Undecided;
 }
 
@@ -97,22 +100,22 @@
 }
 
 RolloutJudgement judge(const VersionSamples& canary, const VersionSamples& stable) {
-  const auto all_stable = sumOf(stable);
-  if (all_stable.ended < kLeastStableRuns)
-    return {RolloutVerdict::Undecided, "the old version is hardly used"};
+  const auto all_stable = sumOfRoutes(stable);
+  if (all_stable.ended < kMinStableRuns) return {RolloutVerdict::Undecided, "the old version is hardly used"};
   RolloutJudgement judgement{RolloutVerdict::Good, "no route is worse than before"};
-  for (const auto& [name, used] : stable.routes()) {
+  for (const auto& [name, stable_route] : stable.routes()) {
     const auto found = canary.routes().find(name);
     const auto route = found == canary.routes().end() ? VersionSamples::Route() : found->second;
-    const auto& before = used.ended >= kLeastStableRuns ? used : all_stable;
-    const std::size_t slow_from = slowFrom(before);
-    const auto now = poorRuns(route, slow_from);
-    const auto then = poorRuns(before, slow_from);
-    const auto verdict = judgeRoute(now, then);
-    const auto figures =
-        fmt::format("route {}: {} of {} poor, before {} of {}", name, now.poor, now.all, then.poor, then.all);
+    const auto& baseline = stable_route.ended >= kMinStableRuns ? stable_route : all_stable;
+    const std::size_t first_slow = firstSlowBucket(baseline);
+    const auto canary_runs = poorRuns(route, first_slow);
+    const auto stable_runs = poorRuns(baseline, first_slow);
+    const auto verdict = judgeRoute(canary_runs, stable_runs);
+    const auto figures = fmt::format("route {}: {} of {} poor, before {} of {}", name, canary_runs.poor,
+                                     canary_runs.all, stable_runs.poor, stable_runs.all);
     if (verdict == RolloutVerdict::Bad) return {RolloutVerdict::Bad, figures};
-    const bool is_rare = static_cast<double>(used.ended) < kRareShare * static_cast<double>(all_stable.ended);
+    const bool is_rare =
+        static_cast<double>(stable_route.ended) < kRareRouteShare * static_cast<double>(all_stable.ended);
     if (verdict == RolloutVerdict::Undecided && !is_rare) judgement = {RolloutVerdict::Undecided, figures};
   }
   return judgement;
--- a/src/store/rollout_analysis.h
+++ b/src/store/rollout_analysis.h
@@ -13,11 +13,11 @@
 
 struct RolloutJudgement {
   RolloutVerdict verdict = RolloutVerdict::Undecided;
-  /// What decided it, for logs: the route and its figures.
+  /// Route and counts that decided the verdict, for logs.
   std::string reason;
 };
 
-/// What all targets of one version made of the requests of a service, by route.
+/// Outcomes of a service's requests at all targets of one version, by route.
 class VersionSamples {
  public:
   struct Route {
@@ -35,14 +35,15 @@
   std::map<std::string, Route> routes_;
 };
 
-/// Compares a new version with the one before it over the same time, route by route. A run counts as poor if
-/// it failed or took well longer than the slowest tenth of the old version's runs of that route. For each
-/// route, Wald's sequential probability ratio test decides between "as poor as the old version" and "poorer
-/// by kLeastHarm"; it needs few requests where the difference is large. The version is bad as soon as one
-/// route is, and good once no route is in doubt.
+/// Compares a new version (canary) with the previous one (stable) over the same period, route by route. A run
+/// of a request counts as poor if it failed or took much longer than the 90th percentile of the stable
+/// version's runs of that route. For each route, Wald's sequential probability ratio test decides whether the
+/// rate of poor runs is that of the stable version or is higher by kMinHarmfulIncrease. The test needs few
+/// requests if the difference is large. The canary is bad as soon as one route is bad, and good once no route
+/// is undecided.
 ///
-/// Against fixed thresholds on rates it missed fewer bad versions for equally many false alarms; the figures
-/// are in docs/design/rollouts.md.
+/// Compared with fixed thresholds on rates, the test missed fewer bad versions at the same number of false
+/// positives; the figures are in docs/design/rollouts.md.
 RolloutJudgement judge(const VersionSamples& canary, const VersionSamples& stable);
 
 }  // namespace cometstand::store
--- a/src/store/rollout_clock.h
+++ b/src/store/rollout_clock.h
@@ -8,25 +8,26 @@
 
 namespace cometstand::store {
 
-/// How long ago each roll-out was ordered, by this replica's steady clock. The replicated state holds the
-/// time that had passed at each step; from there each replica counts on from when it applied the step. So a
-/// new leader goes on with the count; it loses what passed between the last step and its own hearing of that.
+/// Measures the time since each roll-out was ordered, by this replica's steady clock. The replicated state
+/// holds the time elapsed at each step, and each replica adds the time since it applied that step. A new
+/// leader thus continues the measurement, and loses only the time between the last step and its own
+/// application of it.
 class RolloutClock {
  public:
-  /// To be called after entries were applied.
+  /// Must be called after log entries are applied.
   void refresh(const RolloutRegister& rollouts, TimePoint now) {
     if (seen_changes_ == rollouts.changes()) return;
     seen_changes_ = rollouts.changes();
     for (const auto& [service, record] : rollouts.all()) {
       auto& start = starts_[service];
-      const TimePoint told = now - std::chrono::milliseconds(record->elapsed_ms);
-      // A later step never makes a roll-out younger.
-      start.ordered_at = start.number == record->number ? std::min(start.ordered_at, told) : told;
+      const TimePoint ordered_at = now - std::chrono::milliseconds(record->elapsed_ms);
+      // The elapsed time never decreases while the roll-out is the same one.
+      start.ordered_at = start.number == record->number ? std::min(start.ordered_at, ordered_at) : ordered_at;
       start.number = record->number;
     }
   }
 
-  /// @return time since the service's newest roll-out was ordered; zero if there is none.
+  /// @return the time since the service's latest roll-out was ordered; zero if there is none.
   Duration elapsed(const std::string& service, TimePoint now) const {
     const auto found = starts_.find(service);
     return found == starts_.end() ? Duration::zero() : now - found->second.ordered_at;
--- a/src/store/rollout_register.cpp
+++ b/src/store/rollout_register.cpp
@@ -8,8 +8,8 @@
 
 using Phase = wire::RolloutPhase;
 
-/// @return true if a roll-out may go from one phase to the other.
-bool mayFollow(Phase from, Phase next) {
+/// @return true if a roll-out may change from one phase to the other.
+bool isTransitionAllowed(Phase from, Phase next) {
   switch (from) {
     case Phase::Canary:
       return next == Phase::Canary || next == Phase::Promoting || next == Phase::RollingBack;
@@ -33,16 +33,16 @@
   return found == records_.end() ? nullptr : found->second;
 }
 
-bool RolloutRegister::equalsNewest(const wire::RolloutOrderT& order) const {
-  const auto newest = find(order.service);
-  return newest != nullptr && newest->version == order.version && newest->duration_ms == order.duration_ms;
+bool RolloutRegister::equalsLatest(const wire::RolloutOrderT& order) const {
+  const auto latest = find(order.service);
+  return latest != nullptr && latest->version == order.version && latest->duration_ms == order.duration_ms;
 }
 
 RolloutResult RolloutRegister::apply(const wire::RolloutOrderT& order) {
-  const auto newest = find(order.service);
-  const bool runs = newest != nullptr && !isOver(newest->phase);
-  if (equalsNewest(order) && (runs || order.may_repeat)) return RolloutResult::Accepted;
-  if (runs) return RolloutResult::Conflict;
+  const auto latest = find(order.service);
+  const bool is_in_progress = latest != nullptr && !isOver(latest->phase);
+  if (equalsLatest(order) && (is_in_progress || order.may_repeat)) return RolloutResult::Accepted;
+  if (is_in_progress) return RolloutResult::Conflict;
   auto record = std::make_shared<wire::RolloutRecordT>();
   record->number = ++last_number_;
   record->service = order.service;
@@ -54,11 +54,11 @@
 }
 
 RolloutResult RolloutRegister::apply(const wire::RolloutStepT& step) {
-  const auto newest = find(step.service);
-  const bool fits =
-      newest != nullptr && newest->number == step.number && mayFollow(newest->phase, step.phase);
-  if (!fits) return RolloutResult::Stale;
-  auto record = std::make_shared<wire::RolloutRecordT>(*newest);
+  const auto latest = find(step.service);
+  const bool is_applicable =
+      latest != nullptr && latest->number == step.number && isTransitionAllowed(latest->phase, step.phase);
+  if (!is_applicable) return RolloutResult::Stale;
+  auto record = std::make_shared<wire::RolloutRecordT>(*latest);
   record->phase = step.phase;
   record->canary_permille = step.canary_permille;
   record->elapsed_ms = std::max(record->elapsed_ms, step.elapsed_ms);
--- a/src/store/rollout_register.h
+++ b/src/store/rollout_register.h
@@ -10,38 +10,38 @@
 
 namespace cometstand::store {
 
-/// What became of an order or a step of a roll-out.
+/// Result of applying an order or a step of a roll-out.
 enum class RolloutResult : std::uint8_t {
-  /// In force from now on, or taken before and sent again.
+  /// The order or step took effect, or the order is a duplicate of one accepted before.
   Accepted,
-  /// Another roll-out of the service runs.
+  /// Another roll-out of the service is in progress.
   Conflict,
-  /// A step of a roll-out that is over, or that went past it: nothing changed.
+  /// The step is obsolete because its roll-out has finished or is already in a later phase; nothing changed.
   Stale,
 };
 
 using RolloutPointer = std::shared_ptr<const wire::RolloutRecordT>;
 
-/// @return true if nothing changes the roll-out any more.
+/// @return true if the phase is final.
 bool isOver(wire::RolloutPhase phase);
 
-/// The newest roll-out of each service. Part of the replicated state: decides from the accepted orders and
-/// steps alone, and never looks at a clock.
+/// Latest roll-out of each service. It is part of the replicated state: its changes depend only on the
+/// accepted orders and steps, and it reads no clock.
 ///
-/// Invariants: one roll-out of a service runs at a time; phases only go forward, and a roll-out that is over
-/// never changes.
+/// Invariants: at most one roll-out of a service is in progress at a time, phases only advance, and a
+/// finished roll-out never changes.
 class RolloutRegister {
  public:
   RolloutResult apply(const wire::RolloutOrderT& order);
   RolloutResult apply(const wire::RolloutStepT& step);
 
-  /// @return the newest roll-out of the service; nullptr if there was none.
+  /// @return the latest roll-out of the service; nullptr if there is none.
   RolloutPointer find(const std::string& service) const;
-  /// By service.
+  /// @return the latest roll-outs by service.
   const std::map<std::string, RolloutPointer>& all() const { return records_; }
-  /// @return true if the order equals the service's newest one.
-  bool equalsNewest(const wire::RolloutOrderT& order) const;
-  /// Rises with each change.
+  /// @return true if the order is equal to the service's latest one.
+  bool equalsLatest(const wire::RolloutOrderT& order) const;
+  /// @return a counter that increases with each change.
   std::uint64_t changes() const { return changes_; }
 
   /// @return the state; nullptr if there is none.
--- a/src/store/rollout_reports.h
+++ b/src/store/rollout_reports.h
@@ -13,46 +13,47 @@
 
 namespace cometstand::store {
 
-/// What nodes report of the targets of one service during one roll-out. Counts are cumulative, so that a lost
-/// report or another leader costs nothing but time.
+/// Latest reports of nodes on the targets of one service during one roll-out. Counts are cumulative, so a
+/// lost report or a change of leader only delays decisions.
 class RolloutReports {
  public:
-  /// @param node the name of the node that reports.
-  void take(const std::string& node, const wire::RolloutReportT& report, TimePoint now);
+  /// @param node name of the reporting node.
+  void add(const std::string& node, const wire::RolloutReportT& report, TimePoint now);
 
-  /// @return what the targets of the version made of the service's requests so far, or those of all others.
+  /// @return outcomes so far of the service's requests at the targets of the version, or of all other
+  /// versions.
   VersionSamples samplesOf(const std::string& version, bool of_others) const;
-  /// @return requests passed to targets of the version; without one, of all versions.
+  /// @return the number of requests passed to targets of the version, or of all versions if none is given.
   std::uint64_t begun(const std::optional<std::string>& version) const;
 
-  /// Sums over the targets that were heard of lately.
+  /// Totals over the targets with a recent report.
   struct Capacity {
-    /// Slots of all, and of those that are warm.
+    /// Slots of all targets, and of the warm ones.
     unsigned slots = 0;
     unsigned warm_slots = 0;
-    /// Targets that are not warm yet.
+    /// Number of targets that are not warm yet.
     unsigned cold = 0;
     unsigned targets = 0;
   };
   Capacity capacityOf(const std::string& version, bool of_others, TimePoint now) const;
 
-  /// @return versions other than that one which targets said lately or before.
+  /// @return all versions, except the given one, that targets have reported at any time.
   std::set<std::string> otherVersions(const std::string& version) const;
 
-  /// @return true if the node lately reported of this target, with the step or a later one, that it gets no
-  /// new requests. @param idle it has none left either.
+  /// @return true if a recent report of the node, for the step or a later one, states that this target
+  /// receives no new requests. @param idle also require that the target has no request in flight.
   bool isClosed(const std::string& node, const std::string& endpoint, std::uint32_t step, bool idle,
                 TimePoint now) const;
-  /// @return true if the node's last word on this target, however old, was that it is closed by the step or a
-  /// later one, and idle. Such a target stays idle for as long as that step holds.
-  bool endedIdle(const std::string& node, const std::string& endpoint, std::uint32_t step) const;
+  /// @return true if the node's latest report on this target, however old, states for the step or a later one
+  /// that the target is closed and idle. Such a target stays idle while that step is in effect.
+  bool wasClosedAndIdle(const std::string& node, const std::string& endpoint, std::uint32_t step) const;
 
  private:
-  struct Heard {
+  struct ReceivedReport {
     wire::RolloutReportT report;
     TimePoint at;
   };
-  /// A process of a node and a target beside it.
+  /// Origin of reports: a process of a node, and the target next to it.
   struct Source {
     std::string node;
     std::uint64_t incarnation = 0;
@@ -60,9 +61,9 @@
     friend auto operator<=>(const Source&, const Source&) = default;  // NOLINT(modernize-use-nullptr)
   };
 
-  static bool isFresh(const Heard& heard, TimePoint now);
+  static bool isFresh(const ReceivedReport& received, TimePoint now);
 
-  std::map<Source, Heard> heard_;
+  std::map<Source, ReceivedReport> reports_;
 };
 
 }  // namespace cometstand::store
--- a/src/store/rollout_service.cpp
+++ b/src/store/rollout_service.cpp
@@ -10,9 +10,9 @@
 namespace cometstand::store {
 namespace {
 
-/// An order like the service's last one that comes within this time of it counts as a copy. Operators send an
-/// order without an answer again for some seconds only; docs/design/rollouts.md.
-constexpr Duration kCopyTime = std::chrono::seconds(10);
+/// An order equal to the service's previous one counts as a duplicate of it within this time. Operators
+/// resend an order that got no response for a few seconds only; see docs/design/rollouts.md.
+constexpr Duration kDuplicateOrderWindow = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -49,15 +49,15 @@
     handler({RolloutAnswerKind::NotFound, nullptr, std::nullopt});
     return;
   }
-  order.may_repeat = clock_.elapsed(order.service, now) < kCopyTime;
+  order.may_repeat = clock_.elapsed(order.service, now) < kDuplicateOrderWindow;
   logEvent(kRolloutOrdered, {{"service", order.service},
                              {"version", order.version},
                              {"duration_ms", order.duration_ms},
                              {"may_repeat", order.may_repeat}});
-  const auto answer = [this, handler, service = order.service](const CommandResult* result) {
+  const auto on_applied = [this, handler, service = order.service](const CommandResult* result) {
     handler(answerOf(result, service));
   };
-  if (!proposals_.propose(std::move(order), answer, now)) handler(notLeader());
+  if (!proposals_.propose(std::move(order), on_applied, now)) handler(notLeader());
 }
 
 void RolloutService::read(const std::string& service, RolloutAnswerHandler handler, TimePoint now) {
--- a/src/store/rollout_service.h
+++ b/src/store/rollout_service.h
@@ -9,38 +9,39 @@
 
 namespace cometstand::store {
 
-/// What an operator is told of an order or a read of a roll-out.
+/// Outcome of an order or a read of a roll-out, for operators.
 enum class RolloutAnswerKind : std::uint8_t {
-  /// The order is durable, or the read's answer is the newest state.
+  /// The order is durable, or the read returned the latest state.
   Done,
-  /// Another roll-out of the service runs.
+  /// Another roll-out of the service is in progress.
   Conflict,
-  /// No such service is configured, or it had no roll-out yet.
+  /// The service is not configured, or it has had no roll-out yet.
   NotFound,
-  /// Not run: ask the replica at `leader`, if that is known.
+  /// The request was not executed. Retry at the replica at `leader`, if that is known.
   NotLeader,
-  /// Whether the order took effect is not known: send it again.
+  /// It is unknown whether the order took effect. Send it again.
   Unknown,
 };
 
 struct RolloutAnswer {
   RolloutAnswerKind kind = RolloutAnswerKind::Unknown;
-  /// Of Done.
+  /// Latest roll-out of the service. Set for Done and Conflict.
   RolloutPointer rollout;
-  /// Of NotLeader.
+  /// Address of the leader if it is known. Set for NotLeader only.
   std::optional<runtime::Address> leader;
 };
 
 using RolloutAnswerHandler = std::function<void(const RolloutAnswer&)>;
 
-/// Operators' orders and reads of roll-outs, for callers in the same process. An order is answered once its
-/// log entry is applied; a read once a quorum confirmed this replica as the leader after the call.
+/// Handles operators' orders and reads of roll-outs for callers in the same process. An order completes once
+/// its log entry is applied; a read completes once a quorum has confirmed, after the call, that this replica
+/// is the leader.
 class RolloutService {
  public:
   /// @param clock must outlive the service.
   RolloutService(StoreContext& context, const RolloutClock& clock) : context_(context), clock_(clock) {}
 
-  /// @param handler called exactly once, now or later.
+  /// @param handler called exactly once, possibly before this function returns.
   void order(wire::RolloutOrderT order, const RolloutAnswerHandler& handler, TimePoint now);
   void read(const std::string& service, RolloutAnswerHandler handler, TimePoint now);
 
--- a/tests/store/quota_ledger_test.cpp
+++ b/tests/store/quota_ledger_test.cpp
@@ -1,4 +1,4 @@
-// The leader's tokens of tenants.
+// Checks how the leader grants tenants' tokens.
 #include "store/quota_ledger.h"
 
 #include <algorithm>
@@ -15,21 +15,21 @@
 constexpr QuotaLedger::Holder kNode{1};
 constexpr QuotaLedger::Holder kOtherNode{2};
 
-/// A ledger that leads, whose leadership is confirmed up to now.
+/// Ledger of a leader whose leadership is confirmed up to the current time.
 class LeadingLedger {
  public:
-  /// @param live leaderships whose tokens may be in use.
+  /// @param live number of leaderships whose tokens may be in use.
   explicit LeadingLedger(std::uint32_t live = 2) {
-    ledger.begin(5, live, now);
+    ledger.beginLeadership(5, live, now);
     ledger.setLimits({{"a", {100, 50}}}, now);
   }
-  void pass(Duration time) {
+  void advance(Duration time) {
     now += time;
-    ledger.confirm(now);
+    ledger.confirmLeadership(now);
   }
-  /// @return the tokens given.
-  std::uint64_t ask(std::uint32_t need, std::uint32_t held = 0, std::uint32_t returned = 0,
-                    QuotaLedger::Holder holder = kNode) {
+  /// @return the number of tokens granted.
+  std::uint64_t requestTokens(std::uint32_t need, std::uint32_t held = 0, std::uint32_t returned = 0,
+                              QuotaLedger::Holder holder = kNode) {
     wire::QuotaRequestT request;
     request.sequence = ++sequence;
     request.acknowledged = sequence - 1;
@@ -40,105 +40,105 @@
     item->held = held;
     item->returned = returned;
     request.needs.push_back(item);
-    answer = ledger.onRequest(holder, request, now);
-    return answer.shares.empty() ? 0 : answer.shares.front()->granted;
+    response = ledger.onRequest(holder, request, now);
+    return response.shares.empty() ? 0 : response.shares.front()->granted;
   }
 
   TimePoint now{seconds(100)};
   QuotaLedger ledger{QuotaBounds{}};
   std::uint64_t sequence = 0;
-  wire::QuotaGrantT answer;
+  wire::QuotaGrantT response;
 };
 
-/// Of the limit above: (100 x 5 + 50) x 0.1 + 20, of which 0.9 are used.
+/// Excess of the limit above: ((100 * 5 + 50) * 0.1 + 20) * 0.9, the last factor being the used share.
 constexpr std::uint64_t kExcess = 67;
 constexpr std::uint64_t kCapacity = 50 + kExcess / 2;
 
 }  // namespace
 
-TEST_CASE("a leader gives tokens as the limit brings them, and a burst", "[quota]") {
+TEST_CASE("a leader grants tokens at the rate of the limit, and a burst", "[quota]") {
   LeadingLedger leader;
-  CHECK(leader.ask(10) == 0);
-  leader.pass(milliseconds(100));
-  CHECK(leader.ask(100) == 10);
-  leader.pass(seconds(20));
-  CHECK(leader.ask(1'000) >= kCapacity - 1);
-  CHECK(leader.answer.shares.front()->retry_after_ms > 0);
-  leader.pass(milliseconds(500));
-  // The node says that it has used all.
-  CHECK(leader.ask(1'000) == 50);
+  CHECK(leader.requestTokens(10) == 0);
+  leader.advance(milliseconds(100));
+  CHECK(leader.requestTokens(100) == 10);
+  leader.advance(seconds(20));
+  CHECK(leader.requestTokens(1'000) >= kCapacity - 1);
+  CHECK(leader.response.shares.front()->retry_after_ms > 0);
+  leader.advance(milliseconds(500));
+  // The node reports that it has used all of its tokens.
+  CHECK(leader.requestTokens(1'000) == 50);
 }
 
 TEST_CASE("tokens that a node may still use count against the burst", "[quota]") {
   LeadingLedger leader;
-  leader.pass(seconds(20));
-  const auto given = leader.ask(60);
-  REQUIRE(given == 60);
-  leader.pass(seconds(1));
-  // Another node finds what is left of the capacity only.
-  const auto other = leader.ask(1'000, 0, 0, kOtherNode);
+  leader.advance(seconds(20));
+  const auto granted = leader.requestTokens(60);
+  REQUIRE(granted == 60);
+  leader.advance(seconds(1));
+  // Another node is granted only the remaining capacity.
+  const auto other = leader.requestTokens(1'000, 0, 0, kOtherNode);
   CHECK(other <= kCapacity - 60 + 1);
 }
 
-TEST_CASE("tokens that come back are given again at once, and not twice", "[quota]") {
+TEST_CASE("returned tokens are granted again immediately, and only once", "[quota]") {
   LeadingLedger leader;
-  leader.pass(seconds(20));
-  const auto all = leader.ask(1'000);
-  CHECK(leader.ask(1'000, 0, static_cast<std::uint32_t>(all), kOtherNode) == 0);
-  CHECK(leader.ask(40, static_cast<std::uint32_t>(all) - 40, 40) == 40);
-  // It says so again, which nobody can have held.
-  CHECK(leader.ask(40, static_cast<std::uint32_t>(all), 400) == 0);
+  leader.advance(seconds(20));
+  const auto all = leader.requestTokens(1'000);
+  CHECK(leader.requestTokens(1'000, 0, static_cast<std::uint32_t>(all), kOtherNode) == 0);
+  CHECK(leader.requestTokens(40, static_cast<std::uint32_t>(all) - 40, 40) == 40);
+  // The node returns more tokens than it can have held.
+  CHECK(leader.requestTokens(40, static_cast<std::uint32_t>(all), 400) == 0);
 }
 
-TEST_CASE("what a silent node held is free once it is void, and comes back only as time brings it",
-          "[quota]") {
+TEST_CASE(
+    "tokens of a silent node are released when they expire and are refilled only at the rate of the limit",
+    "[quota]") {
   LeadingLedger leader;
-  leader.pass(seconds(20));
-  const auto all = leader.ask(1'000);
+  leader.advance(seconds(20));
+  const auto all = leader.requestTokens(1'000);
   REQUIRE(all >= kCapacity - 1);
-  leader.pass(QuotaLedger::kValidTime - milliseconds(1));
-  CHECK(leader.ask(1'000, 0, 0, kOtherNode) <= 1);
-  leader.pass(milliseconds(101));
-  leader.ask(0, 0, 0, kOtherNode);
-  leader.pass(milliseconds(100));
-  // Of 201 ms at 100 a second.
-  CHECK(leader.ask(1'000, 0, 0, kOtherNode) <= 21);
+  leader.advance(QuotaLedger::kTokenLifetime - milliseconds(1));
+  CHECK(leader.requestTokens(1'000, 0, 0, kOtherNode) <= 1);
+  leader.advance(milliseconds(101));
+  leader.requestTokens(0, 0, 0, kOtherNode);
+  leader.advance(milliseconds(100));
+  // 201 ms at 100 tokens per second, rounded up.
+  CHECK(leader.requestTokens(1'000, 0, 0, kOtherNode) <= 21);
 }
 
-TEST_CASE("a leader without a quorum's word gives nothing", "[quota]") {
+TEST_CASE("a leader that no quorum has confirmed recently grants nothing", "[quota]") {
   LeadingLedger leader;
-  leader.pass(seconds(20));
-  leader.now += QuotaLedger::kConfirmTime;
-  CHECK(leader.ask(1) == 0);
+  leader.advance(seconds(20));
+  leader.now += QuotaLedger::kConfirmationTimeout;
+  CHECK(leader.requestTokens(1) == 0);
 }
 
-TEST_CASE("a new leader gives the less the more leaderships before it may have tokens in use", "[quota]") {
+TEST_CASE("a new leader grants less the more earlier leaderships may have tokens in use", "[quota]") {
   const auto live = GENERATE(range<std::uint32_t>(1, 9));
   LeadingLedger leader(live);
-  leader.pass(QuotaLedger::kGenerationTime - milliseconds(1));
-  // Half of the excess belongs to the first of them.
-  CHECK(leader.ask(1'000) == kExcess >> std::max(live, 2U));
-  leader.pass(seconds(5));
-  CHECK(leader.ask(1'000) > kExcess / 2);
+  leader.advance(QuotaLedger::kGenerationExpiry - milliseconds(1));
+  // The first leadership may grant half of the excess, each later one half of the remainder.
+  CHECK(leader.requestTokens(1'000) == kExcess >> std::max(live, 2U));
+  leader.advance(seconds(5));
+  CHECK(leader.requestTokens(1'000) > kExcess / 2);
 }
 
-TEST_CASE("however many leaderships follow each other, their tokens are no more than the bounds allow",
-          "[quota]") {
+TEST_CASE("tokens of any number of successive leaderships stay within the bounds", "[quota]") {
   constexpr std::uint32_t kLeaderships = 20;
   LeadingLedger first;
-  first.pass(seconds(20));
-  std::uint64_t given = first.ask(1'000);
+  first.advance(seconds(20));
+  std::uint64_t granted = first.requestTokens(1'000);
   for (std::uint32_t live = 2; live <= kLeaderships; ++live) {
     LeadingLedger leader(live);
-    leader.pass(QuotaLedger::kGenerationTime - milliseconds(1));
-    given += leader.ask(1'000);
+    leader.advance(QuotaLedger::kGenerationExpiry - milliseconds(1));
+    granted += leader.requestTokens(1'000);
   }
-  CHECK(given <= 50 + kExcess);
+  CHECK(granted <= 50 + kExcess);
 }
 
-TEST_CASE("a node's words on another leadership's tokens change nothing", "[quota]") {
+TEST_CASE("reports on tokens of another leadership are ignored", "[quota]") {
   LeadingLedger leader;
-  leader.pass(seconds(20));
+  leader.advance(seconds(20));
   wire::QuotaRequestT request;
   request.sequence = 1;
   request.generation = 4;
@@ -150,14 +150,14 @@
   CHECK(leader.ledger.onRequest(kNode, request, leader.now).shares.front()->granted <= kCapacity);
 }
 
-TEST_CASE("a lowered limit takes effect at once", "[quota]") {
+TEST_CASE("a lowered limit takes effect immediately", "[quota]") {
   LeadingLedger leader;
-  leader.pass(seconds(20));
+  leader.advance(seconds(20));
   leader.ledger.setLimits({{"a", {10, 0}}}, leader.now);
-  CHECK(leader.ask(1'000) <= 12);
+  CHECK(leader.requestTokens(1'000) <= 12);
   leader.ledger.setLimits({}, leader.now);
-  leader.ask(1);
-  CHECK(leader.answer.shares.empty());
+  leader.requestTokens(1);
+  CHECK(leader.response.shares.empty());
 }
 
 TEST_CASE("the replicated state counts the leaderships whose tokens may be in use", "[quota]") {
@@ -171,11 +171,11 @@
   CHECK(leaderships.capture() == nullptr);
   CHECK(leaderships.apply(record(3)).live == 1);
   CHECK(leaderships.apply(record(4)).live == 2);
-  // A term that had no leader, or one that gave nothing, does not count.
+  // Terms without a leader, or whose leader granted nothing, are not counted.
   CHECK(leaderships.apply(record(7)).live == 3);
-  // The same record again says nothing new.
+  // Applying the same record again changes nothing.
   CHECK(leaderships.apply(record(7)).live == 3);
-  // A late word of a leadership before the newest one frees nothing.
+  // A late record of an earlier leadership does not expire any tokens.
   CHECK(leaderships.apply(record(4, true)).live == 3);
   QuotaRegister other;
   other.restore(leaderships.capture());
--- a/tests/store/rollout_register_test.cpp
+++ b/tests/store/rollout_register_test.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-TEST_CASE("one roll-out of a service runs at a time, and a copy of its order changes nothing") {
+TEST_CASE("a service has one roll-out in progress at a time, and a duplicate of its order changes nothing") {
   RolloutRegister rollouts;
   CHECK(rollouts.apply(makeOrder()) == RolloutResult::Accepted);
   const auto changes = rollouts.changes();
@@ -42,21 +42,23 @@
   CHECK(rollouts.apply(other) == RolloutResult::Accepted);
 }
 
-TEST_CASE("after the end the same order is a copy while it may be one, and a new roll-out later") {
+TEST_CASE(
+    "after a roll-out ends, an equal order is a duplicate if it may be one, and otherwise starts a new "
+    "roll-out") {
   RolloutRegister rollouts;
   rollouts.apply(makeOrder());
   rollouts.apply(makeStep(1, Phase::RollingBack));
   rollouts.apply(makeStep(1, Phase::RolledBack));
-  auto copy = makeOrder();
-  copy.may_repeat = true;
-  CHECK(rollouts.apply(copy) == RolloutResult::Accepted);
+  auto duplicate = makeOrder();
+  duplicate.may_repeat = true;
+  CHECK(rollouts.apply(duplicate) == RolloutResult::Accepted);
   CHECK(rollouts.find("desk")->phase == Phase::RolledBack);
   CHECK(rollouts.apply(makeOrder()) == RolloutResult::Accepted);
   CHECK(rollouts.find("desk")->number == 2);
   CHECK(rollouts.find("desk")->phase == Phase::Canary);
 }
 
-TEST_CASE("phases only go forward, and an end is final") {
+TEST_CASE("phases only advance, and a finished roll-out never changes") {
   RolloutRegister rollouts;
   rollouts.apply(makeOrder());
   CHECK(rollouts.apply(makeStep(1, Phase::Succeeded)) == RolloutResult::Stale);
@@ -69,7 +71,7 @@
   CHECK(rollouts.find("desk")->phase == Phase::Succeeded);
 }
 
-TEST_CASE("the time since the order never falls") {
+TEST_CASE("the elapsed time never decreases") {
   RolloutRegister rollouts;
   rollouts.apply(makeOrder());
   rollouts.apply(makeStep(1, Phase::Canary, 3'000));
@@ -77,13 +79,13 @@
   CHECK(rollouts.find("desk")->elapsed_ms == 3'000);
 }
 
-TEST_CASE("roll-outs survive a snapshot, and a state without any is read as before") {
+TEST_CASE("roll-outs survive a snapshot, as does a state without any") {
   StateMachine state;
   const auto apply = [&state](auto command) {
     wire::StoreCommandBatchT batch;
-    auto boxed = std::make_shared<wire::StoreCommandT>();
-    boxed->body.Set(std::move(command));
-    batch.commands.push_back(boxed);
+    auto shared_command = std::make_shared<wire::StoreCommandT>();
+    shared_command->body.Set(std::move(command));
+    batch.commands.push_back(shared_command);
     return std::get<RolloutResult>(state.apply(encodeBatch(batch)).front());
   };
   StateMachine empty;
