--- a/src/store/rollout_analysis.h
+++ b/src/store/rollout_analysis.h
@@ -23,7 +23,7 @@
   struct Route {
     std::uint64_t ended = 0;
     std::uint64_t failed = 0;
-    /// See wire::RouteSample.
+    /// Histogram of run times; see wire::RouteSample for its buckets.
     std::vector<std::uint64_t> run_times;
   };
 
@@ -38,9 +38,9 @@
 /// Compares a new version (canary) with the previous one (stable) over the same period, route by route. A run
 /// of a request counts as poor if it failed or took much longer than the 90th percentile of the stable
 /// version's runs of that route. For each route, Wald's sequential probability ratio test decides whether the
-/// rate of poor runs is that of the stable version or is higher by kMinHarmfulIncrease. The test needs few
-/// requests if the difference is large. The canary is bad as soon as one route is bad, and good once no route
-/// is undecided.
+/// rate of poor runs is about that of the stable version or is higher by kMinHarmfulIncrease. The test needs
+/// few requests if the difference is large. The canary is bad as soon as one route is bad, and good once no
+/// route is undecided.
 ///
 /// Compared with fixed thresholds on rates, the test missed fewer bad versions at the same number of false
 /// positives; the figures are in docs/design/rollouts.md.
--- a/tests/quota/quota_mesh.cpp
+++ b/tests/quota/quota_mesh.cpp
@@ -16,12 +16,12 @@
 constexpr unsigned kSlots = 40;
 constexpr const char* kService = "desk";
 constexpr Duration kHeartbeat = milliseconds(1'500);
-/// Between two moves of the crowd.
-constexpr Duration kShift = milliseconds(900);
-constexpr std::uint64_t kCrowdPercent = 60;
-/// Within which a configuration is in force on all machines in touch.
-constexpr Duration kApplyTime = seconds(2);
-constexpr double kSecond = 1e6;
+/// Interval between moves of the hot spot.
+constexpr Duration kHotSpotInterval = milliseconds(900);
+constexpr std::uint64_t kHotSpotPercent = 60;
+/// Time within which a configuration takes effect on all reachable machines.
+constexpr Duration kConfigurationApplyTime = seconds(2);
+constexpr double kMicrosecondsPerSecond = 1e6;
 
 std::string keyOf(const std::string& tenant) { return "key-of-" + tenant; }
 
@@ -33,7 +33,7 @@
     limits_[tenant.name].push_back({network.now(), network.now(), tenant.requests_per_second, tenant.burst});
   store_group_.configure(makeConfiguration());
   for (std::size_t i = 0; i < kSidecars; ++i) addSidecar();
-  // All tokens of leaderships before are void, and buckets are full.
+  // Lets all tokens of earlier leaderships expire and the buckets fill.
   network.runFor(seconds(4));
 }
 
@@ -97,26 +97,27 @@
   network.at(network.now() + kHeartbeat, [this, &machine] { keepBeating(machine); });
 }
 
-void QuotaMesh::beginCalls() {
+void QuotaMesh::startCalls() {
   for (const auto& load : tenants_) keepCalling(load);
-  shiftDemand();
+  moveHotSpot();
 }
 
-void QuotaMesh::shiftDemand() {
-  crowded_ = random_.uniform(0, kSidecars - 1);
-  network.at(network.now() + kShift, [this] { shiftDemand(); });
+void QuotaMesh::moveHotSpot() {
+  hot_spot_ = random_.uniform(0, kSidecars - 1);
+  network.at(network.now() + kHotSpotInterval, [this] { moveHotSpot(); });
 }
 
-QuotaMesh::Machine& QuotaMesh::drawMachine() {
-  if (!sending_.empty()) return machines_.at(sending_.at(random_.uniform(0, sending_.size() - 1)));
-  const bool is_crowd = random_.uniform(1, 100) <= kCrowdPercent;
-  return machines_.at(is_crowd ? crowded_ : random_.uniform(0, kSidecars - 1));
+QuotaMesh::Machine& QuotaMesh::pickMachine() {
+  if (!target_sidecars_.empty())
+    return machines_.at(target_sidecars_.at(random_.uniform(0, target_sidecars_.size() - 1)));
+  const bool is_to_hot_spot = random_.uniform(1, 100) <= kHotSpotPercent;
+  return machines_.at(is_to_hot_spot ? hot_spot_ : random_.uniform(0, kSidecars - 1));
 }
 
 void QuotaMesh::keepCalling(const TenantLoad& load) {
-  const Duration mean(static_cast<Duration::rep>(kSecond / load.asked_per_second));
+  const Duration mean(static_cast<Duration::rep>(kMicrosecondsPerSecond / load.offered_per_second));
   network.at(network.now() + random_.uniform(Duration::zero(), 2 * mean), [this, &load] {
-    auto& machine = drawMachine();
+    auto& machine = pickMachine();
     network.call(machine.id, [&] {
       sidecar::Call call;
       call.host = "desk.example";
@@ -142,7 +143,7 @@
   change.document = {1};
   change.configuration = mesh::encodeConfiguration(makeConfiguration());
   change.digest = std::make_shared<wire::Digest>(change.revision, 1);
-  // Called later if the store stands still.
+  // The call is deferred while the store is suspended.
   network.call(*store, [this, store = *store, change, tenant, index] {
     store_group_.at(store).changeMesh(
         change,
@@ -159,30 +160,32 @@
 double QuotaMesh::boundAt(const std::string& tenant, TimePoint begin, TimePoint end) const {
   const store::QuotaBounds bounds;
   const double window = std::chrono::duration<double>(bounds.window).count();
-  double most = 0;
+  double max_requests = 0;
   TimePoint replaced = TimePoint::max();
   const auto& changes = limits_.at(tenant);
   for (auto change = changes.rbegin(); change != changes.rend(); ++change) {
-    // A limit may be in force from its sending on. The one before it counts for a window longer.
-    const bool is_over = replaced != TimePoint::max() && replaced + kApplyTime + bounds.window <= begin;
+    // A limit may be in force as soon as it is sent. The previous limit counts for one more window.
+    const bool is_over =
+        replaced != TimePoint::max() && replaced + kConfigurationApplyTime + bounds.window <= begin;
     if (change->sent_at <= end && !is_over)
-      most = std::max(most, change->requests_per_second * window + change->burst);
+      max_requests = std::max(max_requests, change->requests_per_second * window + change->burst);
     if (change->acknowledged_at) replaced = std::min(replaced, *change->acknowledged_at);
   }
-  return most * (1 + bounds.overshoot) + bounds.slack;
+  return max_requests * (1 + bounds.overshoot) + bounds.slack;
 }
 
-double QuotaMesh::mostBeyond(const std::string& tenant) {
+double QuotaMesh::maxExcess(const std::string& tenant) {
   auto& ran = accounts_[tenant].ran;
   std::sort(ran.begin(), ran.end());
   const store::QuotaBounds bounds;
-  double most = -bounds.slack;
+  double max_excess = -bounds.slack;
   std::size_t first = 0;
   for (std::size_t last = 0; last < ran.size(); ++last) {
     while (ran[last] - ran[first] > bounds.window) ++first;
-    most = std::max(most, static_cast<double>(last - first + 1) - boundAt(tenant, ran[first], ran[last]));
+    max_excess =
+        std::max(max_excess, static_cast<double>(last - first + 1) - boundAt(tenant, ran[first], ran[last]));
   }
-  return most;
+  return max_excess;
 }
 
 void QuotaMesh::Machine::run(sidecar::RunOrder order) {
--- a/tests/quota/quota_mesh.h
+++ b/tests/quota/quota_mesh.h
@@ -19,29 +19,30 @@
 using rollout::test::ProcessNetwork;
 using rollout::test::StoreGroup;
 
-/// One tenant and what its callers ask for.
+/// Limit of one tenant and the load that its callers offer.
 struct TenantLoad {
   std::string name;
   double requests_per_second = 0;
   double burst = 0;
-  /// What its callers send over all sidecars.
-  double asked_per_second = 0;
+  /// Requests per second that its callers send to all sidecars together.
+  double offered_per_second = 0;
 };
 
-/// What became of a tenant's requests.
+/// Outcomes of a tenant's requests.
 struct TenantAccount {
-  /// When each reached the target that ran it.
+  /// Times at which requests reached the targets that ran them.
   std::vector<TimePoint> ran;
-  /// Callers' answers.
+  /// Numbers of responses to callers, by outcome.
   std::size_t answered = 0;
   std::size_t over_quota = 0;
   std::size_t other = 0;
-  /// Told that they had not run, though they reached a target.
+  /// Number of requests that were reported as not run although they reached a target.
   std::size_t refused_though_run = 0;
 };
 
-/// Three stores, and sidecars with targets, linked by a simulated network; callers of tenants with limits
-/// send at all sidecars, at each more or less by turns. Targets run what they get for kRunTime.
+/// Three stores, and sidecars with targets, connected by a simulated network. Callers of tenants with limits
+/// send requests to all sidecars, most of them to one hot spot that moves. Targets run each request for
+/// kRunTime.
 class QuotaMesh {
  public:
   static constexpr std::size_t kSidecars = 10;
@@ -50,18 +51,18 @@
   QuotaMesh(std::uint64_t seed, std::vector<TenantLoad> tenants);
 
   void runFor(Duration time) { network.runFor(time); }
-  /// Callers begin to send.
-  void beginCalls();
-  /// Sends a configuration with this limit for the tenant to the leader, if there is one. @return false if
-  /// not.
+  /// Lets callers start to send requests.
+  void startCalls();
+  /// Sends a configuration with this limit for the tenant to the leader.
+  /// @return false if there is no leader.
   bool setLimit(const std::string& tenant, double requests_per_second, double burst);
-  /// Callers send at these sidecars only; at all if it is empty.
-  void sendAt(std::vector<std::size_t> sidecars) { sending_ = std::move(sidecars); }
+  /// Makes callers send to these sidecars only, or to all of them if the list is empty.
+  void sendOnlyTo(std::vector<std::size_t> sidecars) { target_sidecars_ = std::move(sidecars); }
 
   const TenantAccount& account(const std::string& tenant) { return accounts_[tenant]; }
-  /// @return the most requests of the tenant that ran beyond its bound in any window, by the highest limit
-  /// that was in force in it or in the window before; 0 or less if the bound held.
-  double mostBeyond(const std::string& tenant);
+  /// @return the largest number of the tenant's requests in any window beyond its bound, by the highest limit
+  /// in force in that window or the one before it; 0 or less if the bound held.
+  double maxExcess(const std::string& tenant);
   const std::vector<ProcessId>& stores() const { return store_group_.ids(); }
   const std::vector<ProcessId>& sidecars() const { return sidecars_; }
   std::optional<ProcessId> leader() const { return store_group_.leader(); }
@@ -84,7 +85,7 @@
   };
   struct LimitChange {
     TimePoint sent_at;
-    /// From then on the limits before do not count any more.
+    /// Time of the acknowledgement, from which earlier limits are being replaced.
     std::optional<TimePoint> acknowledged_at;
     double requests_per_second = 0;
     double burst = 0;
@@ -94,8 +95,8 @@
   void addSidecar();
   void keepBeating(Machine& machine);
   void keepCalling(const TenantLoad& load);
-  void shiftDemand();
-  Machine& drawMachine();
+  void moveHotSpot();
+  Machine& pickMachine();
   double boundAt(const std::string& tenant, TimePoint begin, TimePoint end) const;
   sidecar::SidecarCore& coreOf(const Machine& machine) {
     return dynamic_cast<sidecar::SidecarCore&>(network.core(machine.id));
@@ -108,9 +109,9 @@
   std::map<std::string, TenantAccount> accounts_;
   std::deque<Machine> machines_;
   std::vector<ProcessId> sidecars_;
-  std::vector<std::size_t> sending_;
-  /// The sidecar at which most callers are now.
-  std::size_t crowded_ = 0;
+  std::vector<std::size_t> target_sidecars_;
+  /// Index of the sidecar to which most requests are currently sent.
+  std::size_t hot_spot_ = 0;
   std::map<std::uint64_t, std::string> tenant_of_call_;
   std::set<std::uint64_t> ran_;
   std::uint64_t next_call_ = 1;
