--- a/src/store/reader_hub.cpp
+++ b/src/store/reader_hub.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-bool isFromElsewhere(std::uint64_t have_version, const config::Catalog& catalog) {
+bool isAheadOfStore(std::uint64_t have_version, const config::Catalog& catalog) {
   return have_version > catalog.version();
 }
 
@@ -83,7 +83,7 @@
            {});
     return;
   }
-  if (isFromElsewhere(request.have_version, context_.state.catalog())) {
+  if (isAheadOfStore(request.have_version, context_.state.catalog())) {
     refuse(
         link,
         Error(ErrorKind::Mismatch,
@@ -122,14 +122,15 @@
   });
   if (other == readers_.end()) return false;
   if (other->second.relay == request.relay) {
-    // The same relay came back before its old link was seen to end.
+    // The same relay reconnected before its old link was closed.
     drop(other->first);
     return false;
   }
   auto& reader = other->second;
-  if (!reader.proof_due) {
-    // The asker may be here because the reader is gone: let it prove that it lives.
-    reader.proof_due = now + context_.options.status_time_limit;
+  if (!reader.liveness_deadline) {
+    // The request may come because the current reader has failed. Check that the reader is alive by a status
+    // request, which it must answer before the deadline.
+    reader.liveness_deadline = now + context_.options.status_time_limit;
     wire::StatusRequestT proof;
     proof.proxies = false;
     context_.actions.send(other->first, proof, 0);
@@ -170,11 +171,11 @@
 
 void ReaderHub::onHeard(LinkId link) {
   const auto reader = readers_.find(link);
-  if (reader != readers_.end()) reader->second.proof_due.reset();
+  if (reader != readers_.end()) reader->second.liveness_deadline.reset();
 }
 
 void ReaderHub::onLinkClosed(LinkId link) {
-  former_.erase(link);
+  former_readers_.erase(link);
   const auto reader = readers_.find(link);
   if (reader == readers_.end()) return;
   logEvent(kReaderLost, {{"relay", reader->second.relay}, {"zone", reader->second.zone}});
@@ -192,12 +193,13 @@
 
 runtime::MessagePointer ReaderHub::changesFrom(std::uint64_t version) {
   const auto& catalog = context_.state.catalog();
-  if (shared_at_ != catalog.version()) shared_.clear();
-  shared_at_ = catalog.version();
-  auto& message = shared_[version];
+  if (shared_messages_version_ != catalog.version()) shared_messages_.clear();
+  shared_messages_version_ = catalog.version();
+  auto& message = shared_messages_[version];
   if (message != nullptr) return message;
   auto changes = version == 0 ? std::nullopt : catalog.changesSince(version);
-  // Whichever is smaller; tombstones make up the difference, so that a short delta needs no count.
+  // Send the smaller of delta and snapshot. A snapshot holds live objects only, so they are counted only if
+  // the delta has more than half as many changes as the catalog has entries, tombstones included.
   const bool may_be_larger = !changes || changes->size() * 2 > catalog.entries().size();
   auto living = may_be_larger ? catalog.livingObjects() : config::Catalog::Changes();
   if (changes && (!may_be_larger || changes->size() <= living.size())) {
@@ -213,7 +215,7 @@
     snapshot.version = catalog.version();
     snapshot.changes = std::move(living);
     if (version == 0) {
-      // A relay that starts knows no deletions, but its proxies may have missed some.
+      // A relay that has just started has no tombstones, but its proxies may have missed deletions.
       snapshot.changes = catalog.everything();
       snapshot.history_from = catalog.prunedVersion();
     }
@@ -242,50 +244,51 @@
 }
 
 void ReaderHub::onLeadershipLost(TimePoint now) {
-  for (const auto& [link, reader] : readers_) former_[link] = now + context_.options.command_time_limit;
+  for (const auto& [link, reader] : readers_)
+    former_readers_[link] = now + context_.options.command_time_limit;
   readers_.clear();
-  if (former_.empty()) return;
-  goodbye_due_ = now + context_.options.consensus.election_timeout_max;
+  if (former_readers_.empty()) return;
+  goodbye_deadline_ = now + context_.options.consensus.election_timeout_max;
   onLeaderChanged();
 }
 
 void ReaderHub::onLeaderChanged() {
-  if (goodbye_due_ && !leaderAddress().empty()) sayGoodbye();
+  if (goodbye_deadline_ && !leaderAddress().empty()) sendGoodbye();
 }
 
-void ReaderHub::sayGoodbye() {
-  goodbye_due_.reset();
+void ReaderHub::sendGoodbye() {
+  goodbye_deadline_.reset();
   wire::GoodbyeT goodbye;
   goodbye.alternatives = runtime::networkAddresses(leaderAddress());
-  for (const auto& [link, close_at] : former_) context_.actions.send(link, goodbye, 0);
+  for (const auto& [link, close_at] : former_readers_) context_.actions.send(link, goodbye, 0);
 }
 
 void ReaderHub::onTimer(TimePoint now) {
-  std::vector<LinkId> silent;
+  std::vector<LinkId> unresponsive;
   for (const auto& [link, reader] : readers_) {
-    if (reader.proof_due && *reader.proof_due <= now) silent.push_back(link);
+    if (reader.liveness_deadline && *reader.liveness_deadline <= now) unresponsive.push_back(link);
   }
-  for (const LinkId link : silent) {
+  for (const LinkId link : unresponsive) {
     logEvent(kReaderSilent, {{"relay", readers_.at(link).relay}, {"zone", readers_.at(link).zone}});
     drop(link);
   }
-  if (goodbye_due_ && *goodbye_due_ <= now) sayGoodbye();
-  for (auto item = former_.begin(); item != former_.end();) {
+  if (goodbye_deadline_ && *goodbye_deadline_ <= now) sendGoodbye();
+  for (auto item = former_readers_.begin(); item != former_readers_.end();) {
     if (item->second > now) {
       ++item;
       continue;
     }
     context_.actions.close(item->first);
-    item = former_.erase(item);
+    item = former_readers_.erase(item);
   }
 }
 
 TimePoint ReaderHub::nextTimer() const {
-  TimePoint next = goodbye_due_.value_or(TimePoint::max());
+  TimePoint next = goodbye_deadline_.value_or(TimePoint::max());
   for (const auto& [link, reader] : readers_) {
-    if (reader.proof_due) next = std::min(next, *reader.proof_due);
+    if (reader.liveness_deadline) next = std::min(next, *reader.liveness_deadline);
   }
-  for (const auto& [link, close_at] : former_) next = std::min(next, close_at);
+  for (const auto& [link, close_at] : former_readers_) next = std::min(next, close_at);
   return next;
 }
 
--- a/src/store/replica_admin.cpp
+++ b/src/store/replica_admin.cpp
@@ -50,7 +50,7 @@
   step(now);
 }
 
-bool ReplicaAdmin::holds(const consensus::MembershipChange& change) const {
+bool ReplicaAdmin::isInEffect(const consensus::MembershipChange& change) const {
   const auto membership = context_.consensus.membership();
   const auto* replica = consensus::findReplica(membership, change.replica.id);
   switch (change.kind) {
@@ -76,9 +76,9 @@
 }
 
 bool ReplicaAdmin::advance(Change& change, TimePoint now) {
-  if (change.stage != Stage::InLog && holds(change.change)) {
+  if (change.stage != Stage::InLog && isInEffect(change.change)) {
     change.stage = Stage::InLog;
-    // At or past the entry that names this membership.
+    // The entry that contains this membership is at or before the last index.
     change.index = context_.consensus.lastIndex();
   }
   if (change.stage == Stage::InLog) {
@@ -86,7 +86,7 @@
     complete(change);
     return true;
   }
-  return change.stage == Stage::Waiting && change.next_try <= now && context_.isLeader() &&
+  return change.stage == Stage::Waiting && change.next_attempt <= now && context_.isLeader() &&
          tryAppend(change, now);
 }
 
@@ -96,10 +96,10 @@
     change.stage = Stage::Appended;
     return false;
   } catch (const Error& error) {
-    // The learner has not caught up, or another change runs.
-    const bool may_pass = error.kind() == ErrorKind::Conflict || error.kind() == ErrorKind::Unavailable;
-    if (may_pass && context_.isLeader()) {
-      change.next_try = now + context_.options.consensus.heartbeat_interval;
+    // Retry if the learner has not caught up or another change is in progress.
+    const bool is_retryable = error.kind() == ErrorKind::Conflict || error.kind() == ErrorKind::Unavailable;
+    if (is_retryable && context_.isLeader()) {
+      change.next_attempt = now + context_.options.consensus.heartbeat_interval;
       return false;
     }
     sendReply(context_, change.asker, notRun<wire::CommandReplyT>(error));
@@ -117,7 +117,7 @@
 void ReplicaAdmin::onLeadershipLost(bool same_term) {
   for (const auto& change : changes_) {
     const bool is_committed =
-        same_term && holds(change.change) &&
+        same_term && isInEffect(change.change) &&
         context_.consensus.commitIndex() >=
             (change.stage == Stage::InLog ? change.index : context_.consensus.lastIndex());
     if (is_committed) {
@@ -195,7 +195,7 @@
   TimePoint next = TimePoint::max();
   for (const auto& change : changes_) {
     next = std::min(next, change.deadline);
-    if (change.stage == Stage::Waiting) next = std::min(next, change.next_try);
+    if (change.stage == Stage::Waiting) next = std::min(next, change.next_attempt);
   }
   for (const auto& transfer : transfers_) next = std::min(next, transfer.deadline);
   return next;
--- a/src/store/replica_admin.h
+++ b/src/store/replica_admin.h
@@ -7,24 +7,26 @@
 
 namespace cometstand::store {
 
-/// Operators' commands on the replicas themselves: membership changes one at a time, replacement of a lost
-/// voter by a learner that has caught up, and leadership transfer. Each may be sent again: what already holds
-/// is answered Completed.
+/// Executes operator commands on the replica group: membership changes, one at a time; replacement of a lost
+/// voter by a learner that has caught up; and leadership transfer. Commands are idempotent: a command whose
+/// result is already in effect is answered Completed.
 class ReplicaAdmin {
  public:
   explicit ReplicaAdmin(StoreContext& context) : context_(context) {}
 
   void addReplica(const Asker& asker, const command::NewReplica& replica, TimePoint now);
   void removeReplica(const Asker& asker, consensus::ReplicaId id, TimePoint now);
-  /// Answers Completed only once the new replica has caught up, votes, and the old one does not, with both
-  /// changes committed.
+  /// Answers Completed only after the new replica has caught up and is a voter, the old replica has been
+  /// removed, and both changes are committed.
   void replaceReplica(const Asker& asker, consensus::ReplicaId old_id, consensus::ReplicaId new_id,
                       TimePoint now);
   void transferLeader(const Asker& asker, consensus::ReplicaId target, TimePoint now);
 
-  /// Answers what has become true; to be called after each step.
+  /// Advances pending changes and transfers and answers the finished ones; to be called after each consensus
+  /// step.
   void step(TimePoint now);
-  /// @param same_term the leader stepped down by its own act: what it appended stays in its log.
+  /// @param same_term true if the leader stepped down by itself, so that the entries it appended are still in
+  /// its log.
   void onLeadershipLost(bool same_term);
   void onTimer(TimePoint now);
   TimePoint nextTimer() const;
@@ -34,11 +36,11 @@
 
  private:
   enum class Stage : std::uint8_t {
-    /// Nothing is appended yet: the learner has to catch up, or another change runs.
+    /// Nothing is appended yet because the learner has not caught up or another change is in progress.
     Waiting,
-    /// The change is in the log; a replacement waits for its second entry too.
+    /// The first entry of the change is in the log; a replacement also needs a second entry.
     Appended,
-    /// The wanted membership is in the log up to `index`.
+    /// The requested membership is in the log at or before `index`.
     InLog,
   };
   struct Change {
@@ -47,7 +49,7 @@
     Stage stage = Stage::Waiting;
     consensus::LogIndex index = 0;
     TimePoint deadline;
-    TimePoint next_try;
+    TimePoint next_attempt;
   };
   struct Transfer {
     Asker asker;
@@ -56,10 +58,11 @@
   };
 
   void begin(const Asker& asker, const consensus::MembershipChange& change, Duration limit, TimePoint now);
-  /// @return true if the membership in the log is as the change wants it.
-  bool holds(const consensus::MembershipChange& change) const;
-  /// @return true if the change was answered.
+  /// @return true if the latest membership in the log already reflects the change.
+  bool isInEffect(const consensus::MembershipChange& change) const;
+  /// @return true if the change was answered and can be removed.
   bool advance(Change& change, TimePoint now);
+  /// @return true if the change failed and was answered.
   bool tryAppend(Change& change, TimePoint now);
   void complete(const Change& change);
   void stepTransfers(TimePoint now);
