--- a/src/store/in_force_waits.h
+++ b/src/store/in_force_waits.h
@@ -8,14 +8,15 @@
 
 namespace cometstand::store {
 
-/// Operators that wait until a version is in force on every proxy: as many proxies report as there are nodes,
-/// and each has the version. What is in force stays in force, so that an answer is true whoever leads.
+/// Pending operator requests that wait until a version is in force on every proxy, that is, until as many
+/// proxies report as there are nodes and each of them has at least that version. A version that is in
+/// force stays in force, so an answer remains valid after a change of leader.
 class InForceWaits {
  public:
   InForceWaits(StoreContext& context, const ReaderHub& readers) : context_(context), readers_(readers) {}
 
   void add(const Asker& asker, std::uint64_t version, Duration time_limit, TimePoint now);
-  /// Answers those whose version is in force by now. To be called when reports or changes came.
+  /// Answers the requests whose version is now in force; to be called after new reports or changes.
   void check();
   void onLeadershipLost();
   void onTimer(TimePoint now);
--- a/src/store/log_writer.cpp
+++ b/src/store/log_writer.cpp
@@ -10,11 +10,11 @@
 namespace cometstand::store {
 namespace {
 
-/// A batch is closed once its commands take this many bytes, except that one command always goes.
+/// Maximum estimated size of the commands in a batch; a single larger command still forms a batch.
 constexpr std::size_t kMaxBatchBytes = std::size_t{1} << 20U;
 
-/// A tenant may take this part of the places of waiting commands.
-constexpr std::size_t kTenantShare = 4;
+/// One tenant may occupy at most 1/kTenantShareDivisor of the queue of waiting commands.
+constexpr std::size_t kTenantShareDivisor = 4;
 
 const std::string& tenantOf(const wire::StoreCommandT& command) {
   if (const auto* request = command.body.AsClaimRequest()) return request->tenant;
@@ -39,11 +39,12 @@
   context.actions.send(asker.link, std::move(reply), asker.request_id);
 }
 
-void LogWriter::add(const Asker& asker, wire::StoreCommandT command, std::size_t cost, TimePoint now) {
+void LogWriter::add(const Asker& asker, wire::StoreCommandT command, std::size_t estimated_bytes,
+                    TimePoint now) {
   const bool is_claim = command.body.type != wire::StoreCommandBody::ChangeCommand;
   const std::string tenant = tenantOf(command);
   const TimePoint deadline = now + context_.options.command_time_limit;
-  Waiting waiting{{asker, is_claim, false, deadline}, tenant, std::move(command), cost};
+  Waiting waiting{{asker, is_claim, false, deadline}, tenant, std::move(command), estimated_bytes};
   if (isFull(tenant)) {
     fail(waiting.pending, wire::Outcome::NotRun,
          Error(ErrorKind::Overloaded, "too many commands wait for the log", "send the command again later",
@@ -55,10 +56,10 @@
 }
 
 bool LogWriter::isFull(const std::string& tenant) const {
-  const std::size_t places = context_.options.max_commands_waiting;
+  const std::size_t capacity = context_.options.max_commands_waiting;
   const auto own = waiting_by_tenant_.find(tenant);
   const std::size_t own_count = own == waiting_by_tenant_.end() ? 0 : own->second;
-  return waiting_.size() >= places || own_count >= std::max<std::size_t>(1, places / kTenantShare);
+  return waiting_.size() >= capacity || own_count >= std::max<std::size_t>(1, capacity / kTenantShareDivisor);
 }
 
 void LogWriter::popWaiting() {
@@ -78,9 +79,9 @@
   std::size_t bytes = 0;
   for (const auto& waiting : waiting_) {
     const bool is_full = batch.commands.size() >= context_.options.max_commands_per_batch ||
-                         (bytes > 0 && bytes + waiting.cost > kMaxBatchBytes);
+                         (bytes > 0 && bytes + waiting.estimated_bytes > kMaxBatchBytes);
     if (is_full) break;
-    bytes += waiting.cost;
+    bytes += waiting.estimated_bytes;
     batch.commands.push_back(std::make_shared<wire::StoreCommandT>(waiting.command));
   }
   const auto index = context_.consensus.propose(encodeBatch(batch), now);
--- a/src/store/log_writer.h
+++ b/src/store/log_writer.h
@@ -11,22 +11,23 @@
 
 namespace cometstand::store {
 
-/// Puts changes and claims into the replicated log while this replica leads, many to one entry, and answers
-/// them once the entry is applied. What was never appended is answered NotRun; what was appended and whose
-/// commit is not seen is answered Unknown, at once when leadership is lost.
+/// Appends changes and claims to the replicated log while this replica is the leader, in batches of many
+/// commands per log entry, and answers each command after its entry has been applied. A command that was
+/// never appended is answered NotRun. A command that was appended but is not known to be committed is
+/// answered Unknown: at its deadline, or immediately when leadership is lost.
 class LogWriter {
  public:
   explicit LogWriter(StoreContext& context) : context_(context) {}
 
-  /// Queues one command. Too many waiting are answered at once; one tenant alone may take a part of the
-  /// places, so that it cannot keep others out.
-  /// @param cost bytes that the command takes in a log entry, about.
-  void add(const Asker& asker, wire::StoreCommandT command, std::size_t cost, TimePoint now);
+  /// Queues one command. If the queue is full, the command is rejected immediately. One tenant may occupy
+  /// only a part of the queue, so that it cannot block other tenants.
+  /// @param estimated_bytes approximate size of the command in a log entry.
+  void add(const Asker& asker, wire::StoreCommandT command, std::size_t estimated_bytes, TimePoint now);
 
-  /// Appends what waits, if the limit of entries in flight allows.
+  /// Appends queued commands to the log, up to the limit on batches in flight.
   void flush(TimePoint now);
 
-  /// An entry of kind Command was applied.
+  /// To be called after an entry of kind Command was applied; answers its commands.
   void onApplied(const wire::LogEntryT& entry, const std::vector<CommandResult>& results);
 
   void onLeadershipLost();
@@ -47,7 +48,7 @@
     Pending pending;
     std::string tenant;
     wire::StoreCommandT command;
-    std::size_t cost = 0;
+    std::size_t estimated_bytes = 0;
   };
   struct Batch {
     consensus::LogIndex index = 0;
@@ -68,7 +69,7 @@
   std::deque<Batch> in_flight_;
 };
 
-/// Counts an operator's answer in the metrics and sends it.
+/// Counts the outcome of an operator command in the metrics and sends the reply.
 void sendReply(StoreContext& context, const Asker& asker, wire::CommandReplyT reply);
 
 }  // namespace cometstand::store
--- a/src/store/replica_identity.cpp
+++ b/src/store/replica_identity.cpp
@@ -10,16 +10,17 @@
 namespace {
 
 constexpr const char* kIdentityFile = "identity";
-/// Ids are also written as signed numbers.
-constexpr std::uint64_t kMaxId = (std::uint64_t{1} << 63U) - 1;
+/// Ids are also written as signed 64-bit integers, so the top bit stays clear.
+constexpr std::uint64_t kMaxReplicaId = (std::uint64_t{1} << 63U) - 1;
 
 std::uint64_t parseId(const std::vector<std::uint8_t>& bytes) {
   const std::string text(bytes.begin(), bytes.end());
   std::uint64_t id = 0;
   const auto result = std::from_chars(text.data(), text.data() + text.size(), id);
   if (result.ec != std::errc() || id == 0) {
-    throw Error(ErrorKind::Corrupt, "the file identity of the data folder holds no id",
-                "start the replica with an empty folder");
+    throw Error(ErrorKind::Corrupt,
+                "the file \"identity\" in the data folder does not contain a valid replica id",
+                "start the replica with an empty data folder");
   }
   return id;
 }
@@ -30,7 +31,7 @@
   runtime::DataFolder folder(data_folder);
   if (const auto bytes = folder.read(kIdentityFile)) return parseId(*bytes);
   RandomSource random(systemSeed());
-  const std::uint64_t id = random.uniform(1, kMaxId);
+  const std::uint64_t id = random.uniform(1, kMaxReplicaId);
   const std::string text = std::to_string(id);
   const auto results = folder.apply(
       {{runtime::WriteId{1}, kIdentityFile, runtime::FileWriteMode::Replace, {text.begin(), text.end()}}});
--- a/src/store/replica_identity.h
+++ b/src/store/replica_identity.h
@@ -5,9 +5,10 @@
 
 namespace cometstand::store {
 
-/// @return the id of the replica whose data folder this is. It is drawn at random and synced when the folder
-/// is first used, so a replica that lost its disk gets another one.
-/// @throw Error(InputOutput) if the folder cannot be used; Error(Corrupt) if the stored id cannot be read.
+/// Reads the replica id from the data folder, or generates and stores one if the folder has none.
+/// @return the id. It is random and is synced to disk on first use of the folder, so that a replica that lost
+/// its disk gets a different id.
+/// @throw Error(InputOutput) if the folder cannot be used; Error(Corrupt) if the stored id cannot be parsed.
 std::uint64_t replicaIdOf(const std::string& data_folder);
 
 }  // namespace cometstand::store
--- a/src/store/replica_links.cpp
+++ b/src/store/replica_links.cpp
@@ -15,12 +15,12 @@
   for (const auto* replicas : {&membership.voters, &membership.learners}) {
     for (const auto& replica : *replicas) {
       known.insert(replica->id);
-      learn(*replica, now);
+      addOrUpdatePeer(*replica, now);
     }
   }
   for (const auto& replica : context_.options.initial_voters) {
     if (is_member && !known.contains(replica.id)) continue;
-    if (known.insert(replica.id).second) learn(replica, now);
+    if (known.insert(replica.id).second) addOrUpdatePeer(replica, now);
   }
   for (auto peer = peers_.begin(); peer != peers_.end();) {
     if (known.contains(peer->first)) {
@@ -32,7 +32,7 @@
   }
 }
 
-void ReplicaLinks::learn(const wire::ReplicaT& replica, TimePoint now) {
+void ReplicaLinks::addOrUpdatePeer(const wire::ReplicaT& replica, TimePoint now) {
   if (replica.id == context_.options.self.id) return;
   const runtime::Address address{replica.address, replica.port};
   auto& peer = peers_.try_emplace(replica.id, context_.options).first->second;
--- a/src/store/replica_links.h
+++ b/src/store/replica_links.h
@@ -8,27 +8,29 @@
 
 namespace cometstand::store {
 
-/// This replica's links to the others. It opens one to each replica it knows of and sends its own messages
-/// and forwarded commands over it; a replica that cannot be reached so is answered over the link on which it
-/// sent its last message. Lost messages are left to the consensus module to repeat.
+/// Links between this replica and the other replicas. An outgoing link is opened to each known replica and
+/// carries consensus messages and forwarded commands. If no outgoing link to a replica is open, consensus
+/// messages to it are sent over the link on which its last message arrived. Lost messages are not resent
+/// here; the consensus module retries.
 class ReplicaLinks {
  public:
   explicit ReplicaLinks(StoreContext& context) : context_(context) {}
 
-  /// Adapts to the membership and to the settings; to be called after each step.
+  /// Updates the set of peers from the membership and the configured initial voters; to be called after each
+  /// consensus step.
   void refresh(TimePoint now);
 
-  /// @return true if the link was opened by this object and has not ended.
+  /// @return true if this object opened the link and the link has not been closed.
   bool owns(runtime::LinkId link) const { return outgoing_.contains(link); }
   void onLinkOpened(runtime::LinkId link);
   void onLinkClosed(runtime::LinkId link, TimePoint now);
-  /// A consensus message of that replica came on an incoming link.
+  /// To be called when a consensus message from that replica arrived on an incoming link.
   void onHeard(consensus::ReplicaId from, runtime::LinkId link);
 
   void send(wire::ConsensusMessageT message);
-  /// @return the open link to that replica.
+  /// @return the outgoing link to that replica if it is open.
   std::optional<runtime::LinkId> linkTo(consensus::ReplicaId replica) const;
-  /// @return where that replica listens.
+  /// @return the listen address of that replica, if known.
   std::optional<runtime::Address> addressOf(consensus::ReplicaId replica) const;
 
   void stop() { stopped_ = true; }
@@ -47,13 +49,15 @@
     runtime::ConnectLimit connect_limit;
   };
 
-  void learn(const wire::ReplicaT& replica, TimePoint now);
+  /// Adds the replica to the peers, or reconnects to it if its address changed.
+  void addOrUpdatePeer(const wire::ReplicaT& replica, TimePoint now);
   void disconnect(Peer& peer);
 
   StoreContext& context_;
   std::map<consensus::ReplicaId, Peer> peers_;
   std::map<runtime::LinkId, consensus::ReplicaId> outgoing_;
-  /// Where a replica's last message came from; also of replicas that this one does not know yet.
+  /// Incoming link on which the last message of each replica arrived, including replicas that are not yet in
+  /// `peers_`.
   std::map<consensus::ReplicaId, runtime::LinkId> incoming_;
   bool stopped_ = false;
 };
--- a/src/store/snapshot_writer.cpp
+++ b/src/store/snapshot_writer.cpp
@@ -7,26 +7,26 @@
 SnapshotWriter::SnapshotWriter(wire::StoreStateT state) : state_(std::move(state)) {}
 
 bool SnapshotWriter::step(std::size_t records) {
-  const std::size_t enough = records_packed_ + records;
-  while (!finished_ && records_packed_ < enough) packNext();
+  const std::size_t target_count = records_serialized_ + records;
+  while (!finished_ && records_serialized_ < target_count) serializeNext();
   return finished_;
 }
 
-void SnapshotWriter::packNext() {
+void SnapshotWriter::serializeNext() {
   if (changes_.size() < state_.changes.size()) {
     changes_.push_back(wire::CreateObjectChange(builder_, state_.changes[changes_.size()].get()));
-    ++records_packed_;
+    ++records_serialized_;
   } else if (requests_.size() < state_.requests.size()) {
     const auto& requests = *state_.requests[requests_.size()];
     requests_.push_back(wire::CreateTenantRequests(builder_, &requests));
-    records_packed_ += 1 + requests.answered.size();
+    records_serialized_ += 1 + requests.answered.size();
   } else if (claims_.size() < state_.claims.size()) {
     const auto& claims = *state_.claims[claims_.size()];
     claims_.push_back(wire::CreateTenantClaims(builder_, &claims));
-    records_packed_ += 1 + claims.in_progress.size() + claims.finished.size();
+    records_serialized_ += 1 + claims.in_progress.size() + claims.finished.size();
   } else if (history_.size() < state_.history.size()) {
     history_.push_back(wire::CreateAcceptedChange(builder_, state_.history[history_.size()].get()));
-    ++records_packed_;
+    ++records_serialized_;
   } else {
     finish();
   }
--- a/src/store/snapshot_writer.h
+++ b/src/store/snapshot_writer.h
@@ -10,25 +10,27 @@
 
 namespace cometstand::store {
 
-/// Packs a captured state into the bytes of a snapshot, in slices, so that a large state never keeps a
-/// replica from its heartbeats. The captured records are shared with the state machine, which never changes a
+/// Serializes a captured state into a snapshot incrementally, so that a large state does not delay the
+/// heartbeats of the replica. The captured records are shared with the state machine, which never modifies a
 /// record in place.
 class SnapshotWriter {
  public:
   explicit SnapshotWriter(wire::StoreStateT state);
 
-  /// Packs at least this many records, fewer only at the end. A tenant's requests or claims go in one piece.
-  /// @return true once all are packed.
+  /// Serializes at least this many records, or all that remain. All requests, or all claims, of one tenant
+  /// are serialized in one step.
+  /// @return true if all records have been serialized.
   bool step(std::size_t records);
 
-  /// @return the bytes of a StoreState; equal states give equal bytes. Call it once, after step() gave true.
+  /// @return the serialized StoreState; equal states give equal bytes. To be called once, after step() has
+  /// returned true.
   std::vector<std::uint8_t> take();
 
  private:
   template <typename Table>
   using Offsets = std::vector<flatbuffers::Offset<Table>>;
 
-  void packNext();
+  void serializeNext();
   void finish();
 
   wire::StoreStateT state_;
@@ -37,7 +39,7 @@
   Offsets<wire::TenantRequests> requests_;
   Offsets<wire::TenantClaims> claims_;
   Offsets<wire::AcceptedChange> history_;
-  std::size_t records_packed_ = 0;
+  std::size_t records_serialized_ = 0;
   bool finished_ = false;
 };
 
--- a/src/store/status_collector.cpp
+++ b/src/store/status_collector.cpp
@@ -17,7 +17,7 @@
   auto& collection = collections_[request_id];
   collection.asker = asker;
   collection.render = std::move(render);
-  collection.missing = {readers.begin(), readers.end()};
+  collection.outstanding = {readers.begin(), readers.end()};
   collection.deadline = now + context_.options.status_time_limit;
   for (const LinkId reader : readers) context_.actions.send(reader, request, request_id);
   finishComplete();
@@ -25,7 +25,7 @@
 
 void StatusCollector::onReply(LinkId reader, std::uint64_t request_id, const wire::StatusReplyT& reply) {
   const auto found = collections_.find(request_id);
-  if (found == collections_.end() || found->second.missing.erase(reader) == 0) return;
+  if (found == collections_.end() || found->second.outstanding.erase(reader) == 0) return;
   auto& status = found->second.status;
   status.proxies.insert(status.proxies.end(), reply.proxies.begin(), reply.proxies.end());
   status.endpoints.insert(status.endpoints.end(), reply.endpoints.begin(), reply.endpoints.end());
@@ -33,7 +33,7 @@
 }
 
 void StatusCollector::onLinkClosed(LinkId link) {
-  for (auto& [id, collection] : collections_) collection.missing.erase(link);
+  for (auto& [id, collection] : collections_) collection.outstanding.erase(link);
   finishComplete();
 }
 
@@ -47,7 +47,7 @@
 
 void StatusCollector::finishComplete() {
   for (auto item = collections_.begin(); item != collections_.end();) {
-    if (!item->second.missing.empty()) {
+    if (!item->second.outstanding.empty()) {
       ++item;
       continue;
     }
@@ -67,7 +67,7 @@
 
 void StatusCollector::onTimer(TimePoint now) {
   for (auto& [id, collection] : collections_) {
-    if (collection.deadline <= now) collection.missing.clear();
+    if (collection.deadline <= now) collection.outstanding.clear();
   }
   finishComplete();
 }
--- a/src/store/status_collector.h
+++ b/src/store/status_collector.h
@@ -10,21 +10,21 @@
 
 namespace cometstand::store {
 
-/// Asks the readers what their zones' proxies run and which endpoints live, and answers an operator once all
-/// answered or the time limit passed.
+/// Requests proxy and endpoint status from the readers, and answers an operator's query after all readers
+/// have replied or the time limit has passed.
 class StatusCollector {
  public:
-  /// Makes the answer from what the readers sent.
+  /// Builds the reply to the operator from the readers' merged status replies.
   using Render = std::function<wire::CommandReplyT(const wire::StatusReplyT& status)>;
 
   explicit StatusCollector(StoreContext& context) : context_(context) {}
 
-  /// @param request what the answer needs, and no more: it goes to every relay.
+  /// @param request asks only for the data that the reply needs, because it is sent to every reader.
   void begin(const Asker& asker, const std::vector<runtime::LinkId>& readers,
              const wire::StatusRequestT& request, Render render, TimePoint now);
   void onReply(runtime::LinkId reader, std::uint64_t request_id, const wire::StatusReplyT& reply);
   void onLinkClosed(runtime::LinkId link);
-  /// Answers all that wait: the readers went to another leader.
+  /// Fails all pending queries as not run, because the readers are redirected to another leader.
   void onLeadershipLost();
   void onTimer(TimePoint now);
   TimePoint nextTimer() const;
@@ -34,7 +34,7 @@
     Asker asker;
     Render render;
     wire::StatusReplyT status;
-    std::set<runtime::LinkId> missing;
+    std::set<runtime::LinkId> outstanding;
     TimePoint deadline;
   };
 
@@ -43,7 +43,7 @@
 
   StoreContext& context_;
   std::uint64_t last_request_id_ = 0;
-  /// By the request id that the readers were asked with.
+  /// Pending collections by the request id of the status request sent to the readers.
   std::map<std::uint64_t, Collection> collections_;
 };
 
--- a/src/store/store_messages.cpp
+++ b/src/store/store_messages.cpp
@@ -4,20 +4,21 @@
 #include "store/replies.h"
 #include "store/store_parts.h"
 
-/// Which part of a replica gets a message, by the link that it came on, and who may send it.
+/// Dispatches incoming messages to the components of a replica by the link on which they arrived, and checks
+/// that the role of the peer permits the message.
 namespace cometstand::store {
 
 using runtime::LinkId;
 
 namespace {
 
-/// About what a claim takes in a log entry besides its texts, in bytes.
-constexpr std::size_t kClaimCost = 512;
+/// Approximate size of a claim in a log entry without its texts.
+constexpr std::size_t kClaimBaseBytes = 512;
 
-std::size_t costOf(const wire::ClaimRequestT& /*request*/) { return kClaimCost; }
+std::size_t estimateBytes(const wire::ClaimRequestT& /*request*/) { return kClaimBaseBytes; }
 
-std::size_t costOf(const wire::ClaimFinishT& finish) {
-  return kClaimCost + (finish.answer == nullptr ? 0 : finish.answer->body.size());
+std::size_t estimateBytes(const wire::ClaimFinishT& finish) {
+  return kClaimBaseBytes + (finish.answer == nullptr ? 0 : finish.answer->body.size());
 }
 
 }  // namespace
@@ -93,8 +94,8 @@
   const auto& peer = incoming_.at(link);
   const bool is_other_tenant =
       peer.role == "operator" && !peer.tenant.empty() && peer.tenant != request.tenant;
-  const bool is_false_forward = request.forwarded && peer.role == "operator";
-  if (is_other_tenant || is_false_forward) {
+  const bool is_forged_forward = request.forwarded && peer.role == "operator";
+  if (is_other_tenant || is_forged_forward) {
     sendReply(context_, {link, request_id},
               notRun<wire::CommandReplyT>(Error(ErrorKind::Forbidden,
                                                 "the certificate does not allow the command's tenant",
@@ -134,7 +135,7 @@
   }
   wire::StoreCommandT command;
   command.body.Set(Claim(claim));
-  writer_.add({link, request_id}, std::move(command), costOf(claim), now);
+  writer_.add({link, request_id}, std::move(command), estimateBytes(claim), now);
 }
 
 }  // namespace cometstand::store
