--- a/tests/store/memory_network.cpp
+++ b/tests/store/memory_network.cpp
@@ -53,9 +53,9 @@
 
 void MemoryNetwork::start(ReplicaIndex index) {
   auto& node = nodes_.at(index);
-  node.core = std::make_unique<StoreCore>(node.options, seed_ * 1000 + index * 100 + node.life);
+  node.core = std::make_unique<StoreCore>(node.options, seed_ * 1000 + index * 100 + node.incarnation);
   node.core->start(node.files, now_);
-  carryOut(index);
+  performActions(index);
 }
 
 void MemoryNetwork::startAll() {
@@ -65,8 +65,8 @@
 void MemoryNetwork::crash(ReplicaIndex index) {
   auto& node = nodes_.at(index);
   node.core.reset();
-  ++node.life;
-  node.held.clear();
+  ++node.incarnation;
+  node.deferred_events.clear();
   node.frozen = false;
   while (!node.links.empty()) closeLink(index, node.links.begin()->first);
 }
@@ -74,12 +74,12 @@
 void MemoryNetwork::thaw(ReplicaIndex index) {
   auto& node = nodes_.at(index);
   node.frozen = false;
-  // The timer first, as an operating system would: then what waited in the sockets.
-  for (auto& event : std::exchange(node.held, {})) event();
+  // Deliver the events that were deferred while the process was frozen.
+  for (auto& event : std::exchange(node.deferred_events, {})) event();
 }
 
 void MemoryNetwork::beginStop(ReplicaIndex index) {
-  deliver(index, nodes_.at(index).life, [this](StoreCore& core) { core.beginStop(now_); });
+  deliver(index, nodes_.at(index).incarnation, [this](StoreCore& core) { core.beginStop(now_); });
 }
 
 std::optional<MemoryNetwork::ReplicaIndex> MemoryNetwork::leader() const {
@@ -101,8 +101,8 @@
   const LinkId link{node.next_incoming++};
   clients_.push_back({index, link, true, {}});
   node.links[link] = {true, id, link};
-  post(kDelay, [this, index, link, identity, life = node.life] {
-    deliver(index, life,
+  post(kDelay, [this, index, link, identity, incarnation = node.incarnation] {
+    deliver(index, incarnation,
             [this, link, identity](StoreCore& core) { core.onLinkOpened(link, identity, now_); });
   });
   return id;
@@ -116,8 +116,8 @@
 void MemoryNetwork::send(ClientId client, wire::EnvelopeT message) {
   const auto& end = clients_.at(client);
   auto shared = std::make_shared<wire::EnvelopeT>(std::move(message));
-  post(kDelay, [this, end, shared, life = nodes_.at(end.replica).life] {
-    deliver(end.replica, life,
+  post(kDelay, [this, end, shared, incarnation = nodes_.at(end.replica).incarnation] {
+    deliver(end.replica, incarnation,
             [this, end, shared](StoreCore& core) { core.onMessage(end.link, *shared, now_); });
   });
 }
@@ -126,56 +126,58 @@
   events_.emplace(std::pair(now_ + delay, next_event_++), std::move(event));
 }
 
-void MemoryNetwork::deliver(ReplicaIndex index, std::uint64_t life,
+void MemoryNetwork::deliver(ReplicaIndex index, std::uint64_t incarnation,
                             const std::function<void(StoreCore&)>& event) {
   auto& node = nodes_.at(index);
-  if (node.core == nullptr || node.life != life) return;
+  if (node.core == nullptr || node.incarnation != incarnation) return;
   if (node.frozen) {
-    node.held.emplace_back([this, index, life, event] { deliver(index, life, event); });
+    node.deferred_events.emplace_back(
+        [this, index, incarnation, event] { deliver(index, incarnation, event); });
     return;
   }
   event(*node.core);
-  carryOut(index);
+  performActions(index);
   node.core->checkInvariants();
 }
 
-void MemoryNetwork::carryOut(ReplicaIndex index) {
+void MemoryNetwork::performActions(ReplicaIndex index) {
   auto& node = nodes_.at(index);
   const runtime::Actions actions = node.core->takeActions();
   for (const auto& write : actions.writes) {
-    post(kDelay, [this, index, write, life = node.life] {
+    post(kDelay, [this, index, write, incarnation = node.incarnation] {
       auto& target = nodes_.at(index);
-      if (target.core == nullptr || target.life != life) return;
+      if (target.core == nullptr || target.incarnation != incarnation) return;
       target.files.apply(write);
-      deliver(index, life, [this, id = write.id](StoreCore& core) { core.onFileWritten(id, now_); });
+      deliver(index, incarnation, [this, id = write.id](StoreCore& core) { core.onFileWritten(id, now_); });
     });
   }
   for (const auto& order : actions.connects) openLink(index, order);
   for (const auto& outgoing : actions.messages) sendFrom(index, outgoing);
   for (const LinkId link : actions.closes) {
-    post(2 * kDelay, [this, index, link, life = node.life] {
-      if (nodes_.at(index).life == life) closeLink(index, link);
+    post(2 * kDelay, [this, index, link, incarnation = node.incarnation] {
+      if (nodes_.at(index).incarnation == incarnation) closeLink(index, link);
     });
   }
 }
 
 void MemoryNetwork::openLink(ReplicaIndex from, const runtime::ConnectOrder& order) {
-  post(kDelay, [this, from, order, life = nodes_.at(from).life] {
+  post(kDelay, [this, from, order, incarnation = nodes_.at(from).incarnation] {
     auto& node = nodes_.at(from);
-    if (node.core == nullptr || node.life != life) return;
+    if (node.core == nullptr || node.incarnation != incarnation) return;
     const auto target = std::find_if(nodes_.begin(), nodes_.end(), [&](const Node& other) {
       return other.core != nullptr && other.options.self.port == order.address.port;
     });
     if (target == nodes_.end()) {
-      deliver(from, life, [this, order](StoreCore& core) { core.onLinkClosed(order.link, now_); });
+      deliver(from, incarnation, [this, order](StoreCore& core) { core.onLinkClosed(order.link, now_); });
       return;
     }
     const auto to = static_cast<ReplicaIndex>(target - nodes_.begin());
     const LinkId incoming{target->next_incoming++};
     node.links[order.link] = {false, to, incoming};
     target->links[incoming] = {false, from, order.link};
-    deliver(to, target->life, [this, incoming](StoreCore& core) { core.onLinkOpened(incoming, {}, now_); });
-    deliver(from, life, [this, order](StoreCore& core) { core.onLinkOpened(order.link, {}, now_); });
+    deliver(to, target->incarnation,
+            [this, incoming](StoreCore& core) { core.onLinkOpened(incoming, {}, now_); });
+    deliver(from, incarnation, [this, order](StoreCore& core) { core.onLinkOpened(order.link, {}, now_); });
   });
 }
 
@@ -193,9 +195,9 @@
   }
   const auto* consensus_message = outgoing.message->body.AsConsensusMessage();
   if (consensus_message != nullptr && on_consensus_message) on_consensus_message(*consensus_message);
-  post(kDelay, [this, from, end, message = outgoing.message, life = nodes_.at(end.peer).life] {
+  post(kDelay, [this, from, end, message = outgoing.message, incarnation = nodes_.at(end.peer).incarnation] {
     if (cut_.contains(from) || cut_.contains(end.peer)) return;
-    deliver(end.peer, life,
+    deliver(end.peer, incarnation,
             [this, end, message](StoreCore& core) { core.onMessage(end.link, *message, now_); });
   });
 }
@@ -206,14 +208,14 @@
   if (found == node.links.end()) return;
   const auto end = found->second;
   node.links.erase(found);
-  deliver(index, node.life, [this, link](StoreCore& core) { core.onLinkClosed(link, now_); });
+  deliver(index, node.incarnation, [this, link](StoreCore& core) { core.onLinkClosed(link, now_); });
   if (end.is_client) {
     clients_.at(end.peer).connected = false;
     return;
   }
   auto& peer = nodes_.at(end.peer);
   peer.links.erase(end.link);
-  deliver(end.peer, peer.life, [this, end](StoreCore& core) { core.onLinkClosed(end.link, now_); });
+  deliver(end.peer, peer.incarnation, [this, end](StoreCore& core) { core.onLinkClosed(end.link, now_); });
 }
 
 void MemoryNetwork::step() {
@@ -225,7 +227,7 @@
   for (ReplicaIndex i = 0; i < nodes_.size(); ++i) {
     auto& node = nodes_[i];
     if (node.core == nullptr || node.frozen || node.core->nextTimer() > now_) continue;
-    deliver(i, node.life, [this](StoreCore& core) { core.onTimer(now_); });
+    deliver(i, node.incarnation, [this](StoreCore& core) { core.onTimer(now_); });
   }
   while (!events_.empty() && events_.begin()->first.first <= now_) {
     const auto event = std::move(events_.begin()->second);
--- a/tests/store/relay_test.cpp
+++ b/tests/store/relay_test.cpp
@@ -1,4 +1,4 @@
-// What relays get from the store: configuration, beats, claims.
+// Tests of what the store sends to relays: configuration, heartbeats, and replies to claims.
 #include <catch2/catch.hpp>
 
 #include "store_fixture.h"
@@ -41,7 +41,7 @@
   return finish;
 }
 
-TEST_CASE("a relay gets a snapshot, then deltas, beats and freshness") {
+TEST_CASE("a relay receives a snapshot, then deltas, heartbeats and freshness replies") {
   Trio trio;
   for (std::size_t i = 0; i < 3; ++i) trio.network.options(i).beat_interval = milliseconds(50);
   trio.begin();
@@ -72,7 +72,8 @@
   REQUIRE(trio.network.runUntil([&] { return received.back().request_id == 77; }));
   REQUIRE(received.back().body.AsQuorumBeat()->version == 2);
 
-  // No beat without a quorum, also while the leader that is cut off still believes that it leads.
+  // Without a quorum, a leader must not send heartbeats, even while a partition keeps it from learning that
+  // it was replaced.
   trio.network.cut(leader);
   trio.network.runFor(milliseconds(3));
   received.clear();
@@ -83,7 +84,7 @@
   REQUIRE(lastOf(received, &wire::BodyUnion::AsGoodbye) != nullptr);
 }
 
-TEST_CASE("one relay a zone reads; one that died without a trace is replaced") {
+TEST_CASE("only one relay per zone is a reader; a reader that no longer responds is replaced") {
   Trio trio;
   trio.begin();
   const auto leader = trio.waitForLeader();
@@ -93,19 +94,19 @@
   const auto& received = trio.network.received(first);
   REQUIRE(
       trio.network.runUntil([&] { return lastOf(received, &wire::BodyUnion::AsStatusRequest) != nullptr; }));
-  SECTION("it answers the question and stays") {
+  SECTION("a reader that replies to the status request is kept") {
     trio.network.send(first, runtime::makeEnvelope(wire::StatusReplyT()));
     trio.network.runFor(seconds(5));
     REQUIRE(trio.network.isConnected(first));
   }
-  SECTION("it is silent and loses its place") {
+  SECTION("a reader that does not reply is dropped and another relay is admitted") {
     REQUIRE(trio.network.runUntil([&] { return !trio.network.isConnected(first); }));
     const auto third = trio.follow(leader, "relay-2", "krk-a");
     REQUIRE(trio.network.received(third).front().body.AsQuorumBeat() != nullptr);
   }
 }
 
-TEST_CASE("a herd of relays is admitted at a limited rate and up to the limit of readers") {
+TEST_CASE("relays that connect at once are admitted at a limited rate, up to the reader limit") {
   Trio trio;
   for (std::size_t i = 0; i < 3; ++i) {
     trio.network.options(i).reader_join_burst = 4;
@@ -128,7 +129,7 @@
   REQUIRE(trio.network.core(leader).metrics().readers == 6);
 }
 
-TEST_CASE("wait answers once as many proxies report the version as there are nodes") {
+TEST_CASE("the wait command completes after as many proxies as there are nodes report the version") {
   Trio trio;
   trio.begin();
   const auto leader = trio.waitForLeader();
@@ -157,7 +158,7 @@
   REQUIRE(kindOf(late) == ErrorKind::Timeout);
 }
 
-TEST_CASE("a claim is granted to one attempt and ends released, completed or unknown") {
+TEST_CASE("a claim is granted to one attempt and ends as released, completed or unknown") {
   Trio trio;
   for (std::size_t i = 0; i < 3; ++i) trio.network.options(i).claim_time_limit = seconds(20);
   trio.begin();
@@ -176,11 +177,11 @@
   const auto foreign = trio.claim(relay, claimFinish("b", wire::ClaimEnd::Released));
   REQUIRE(foreign.outcome == wire::Outcome::NotRun);
 
-  SECTION("released: the next attempt may run") {
+  SECTION("released: the claim is granted to the next attempt") {
     trio.claim(relay, claimFinish("a", wire::ClaimEnd::Released));
     REQUIRE(state("b") == wire::ClaimState::Granted);
   }
-  SECTION("completed: the answer is given again, also by the next leader") {
+  SECTION("completed: the recorded answer is returned again, also by the next leader") {
     trio.claim(relay, claimFinish("a", wire::ClaimEnd::Completed));
     REQUIRE(trio.claim(relay, claimFinish("a", wire::ClaimEnd::Completed)).state ==
             wire::ClaimState::Completed);
@@ -193,27 +194,27 @@
     trio.claim(relay, claimFinish("a", wire::ClaimEnd::Released));
     REQUIRE(state("b") == wire::ClaimState::Completed);
   }
-  SECTION("unknown: it stays so for others, until the holder knows better") {
+  SECTION("unknown: other attempts get unknown until the holder reports completion") {
     trio.claim(relay, claimFinish("a", wire::ClaimEnd::Unknown));
     REQUIRE(state("b") == wire::ClaimState::Unknown);
     trio.claim(relay, claimFinish("a", wire::ClaimEnd::Completed));
     REQUIRE(state("b") == wire::ClaimState::Completed);
   }
-  SECTION("a holder that died leaves unknown, and a late word of it counts") {
+  SECTION("expired: the claim becomes unknown, and a late finish by the holder is accepted") {
     trio.network.runFor(seconds(30));
     REQUIRE(state("b") == wire::ClaimState::Unknown);
     REQUIRE(state("a") == wire::ClaimState::Unknown);
     trio.claim(relay, claimFinish("a", wire::ClaimEnd::Completed));
     REQUIRE(state("b") == wire::ClaimState::Completed);
   }
-  SECTION("no quorum: unknown for what was appended, not run for what comes later") {
+  SECTION("no quorum: an appended claim is answered unknown, a later claim not run") {
     trio.network.cut(leader);
     REQUIRE(trio.claim(relay, claimRequest("c")).outcome == wire::Outcome::Unknown);
     REQUIRE(trio.claim(relay, claimRequest("d")).outcome == wire::Outcome::NotRun);
   }
 }
 
-TEST_CASE("a leader stops under a steady stream of claims and leaves none unknown") {
+TEST_CASE("a leader that stops under continuous claims answers no claim as unknown") {
   Trio trio;
   trio.begin();
   const auto leader = trio.waitForLeader();
@@ -242,7 +243,7 @@
   REQUIRE(answers == sent);
 }
 
-TEST_CASE("a leader that stops sends its readers away only once it can name the next leader") {
+TEST_CASE("a leader that stops redirects its readers only after the next leader is known") {
   Trio trio;
   trio.begin();
   const auto leader = trio.waitForLeader();
--- a/tests/store/replica_test.cpp
+++ b/tests/store/replica_test.cpp
@@ -1,4 +1,4 @@
-// Lost disks and replaced replicas.
+// Tests of replicas that lost their disk and of the replacement of replicas.
 #include <fmt/format.h>
 
 #include <catch2/catch.hpp>
@@ -10,9 +10,9 @@
 
 using std::chrono::seconds;
 
-/// Fails if the replica grants a vote or acknowledges entries as the given identifier.
-struct VoteWatch {
-  VoteWatch(MemoryNetwork& network, std::uint64_t id) {
+/// Counts the votes granted and the log entries acknowledged under the given replica id.
+struct VoteCounter {
+  VoteCounter(MemoryNetwork& network, std::uint64_t id) {
     network.on_consensus_message = [this, id](const wire::ConsensusMessageT& message) {
       if (message.from != id) return;
       const auto* vote = message.body.AsVoteReply();
@@ -23,7 +23,7 @@
   int count = 0;
 };
 
-TEST_CASE("a replica that lost its disk never votes as its old self, also if started with bootstrap") {
+TEST_CASE("a replica that lost its disk never votes under its old id, even if it is started with bootstrap") {
   Trio trio;
   trio.begin();
   const auto leader = trio.waitForLeader();
@@ -34,20 +34,20 @@
   trio.network.crash(lost);
   trio.network.loseDisk(lost);
   trio.network.crash(leader);
-  VoteWatch watch(trio.network, trio.network.options(lost).self.id);
+  VoteCounter votes(trio.network, trio.network.options(lost).self.id);
   trio.network.start(lost);
   trio.network.start(behind);
   trio.network.runFor(seconds(30));
-  // The two that are left do not know the change: they must not elect a leader.
+  // Neither of the two running replicas has the committed change, so they must not elect a leader.
   REQUIRE_FALSE(trio.network.leader().has_value());
   trio.network.start(leader);
   REQUIRE(trio.network.runUntil([&] { return trio.network.leader().has_value(); }));
   trio.network.runFor(seconds(5));
-  REQUIRE(watch.count == 0);
+  REQUIRE(votes.count == 0);
   REQUIRE(trio.run(*trio.network.leader(), "show version").version == 1);
 }
 
-TEST_CASE("a new cluster forms also if a first voter crashes on the way") {
+TEST_CASE("a new cluster forms even if an initial voter crashes during formation") {
   Trio trio;
   trio.network.start(0);
   trio.network.start(1);
@@ -61,30 +61,31 @@
   trio.waitForLeader();
 }
 
-/// A trio of which one lost its disk, and a new replica.
+/// A cluster of three in which one replica lost its disk, and a new replica that is not started yet.
 struct Repair {
   explicit Repair(Trio& trio)
       : leader(trio.waitForLeader()), lost((leader + 1) % 3), other((leader + 2) % 3) {
     trio.network.crash(lost);
     trio.network.loseDisk(lost);
-    repaired = trio.network.addReplica(4);
+    new_replica = trio.network.addReplica(4);
     auto options = trio.network.options(leader);
-    options.self = trio.network.options(repaired).self;
+    options.self = trio.network.options(new_replica).self;
     options.bootstrap = false;
-    trio.network.options(repaired) = options;
-    replace = "replace replica " + std::to_string(lost + 1) + " with 4";
+    trio.network.options(new_replica) = options;
+    replace_command = "replace replica " + std::to_string(lost + 1) + " with 4";
   }
   std::size_t leader;
   std::size_t lost;
   std::size_t other;
-  std::size_t repaired = 0;
-  std::string replace;
+  std::size_t new_replica = 0;
+  std::string replace_command;
 };
 
 constexpr const char* kAddReplica = "add replica 4 store-4 at 127.0.0.1:103 region south";
 
-TEST_CASE("a repair is reported complete only when the loss of a second machine costs nothing") {
-  // Bit 0: lose the leader right after, else another voter. Bit 1: the repair runs under load.
+TEST_CASE("once a repair is reported complete, losing a second voter loses no accepted change") {
+  // Bit 0: lose the leader after the repair if set, the other voter if clear. Bit 1: run the repair under
+  // load.
   const int variant = GENERATE(0, 1, 2, 3);
   Trio trio(variant + 1);
   for (std::size_t i = 0; i < 3; ++i) trio.network.options(i).consensus.snapshot_after_log_bytes = 4096;
@@ -96,13 +97,13 @@
   }
   const Repair repair(trio);
   const auto [leader, other] = std::pair(repair.leader, repair.other);
-  REQUIRE(trio.run(leader, repair.replace).outcome == wire::Outcome::NotRun);
+  REQUIRE(trio.run(leader, repair.replace_command).outcome == wire::Outcome::NotRun);
   REQUIRE(trio.run(other, kAddReplica).outcome == wire::Outcome::Completed);
-  // The new replica is not there yet: nothing is reported.
-  const auto client = trio.send(other, Trio::command(repair.replace, trio.nextId()));
+  // The new replica is not started, so the repair must not be answered yet.
+  const auto client = trio.send(other, Trio::command(repair.replace_command, trio.nextId()));
   trio.network.runFor(seconds(3));
   REQUIRE(trio.network.received(client).empty());
-  trio.network.start(repair.repaired);
+  trio.network.start(repair.new_replica);
   std::vector<MemoryNetwork::ClientId> load;
   for (int i = 0; (variant & 2) != 0 && i < 50; ++i) {
     load.push_back(
@@ -113,34 +114,34 @@
   std::uint64_t accepted = trio.run(leader, "show version").version;
   for (const auto each : load) accepted = std::max(accepted, trio.answer(each).version);
 
-  const std::size_t second = (variant & 1) != 0 ? leader : other;
-  trio.network.crash(second);
-  trio.network.loseDisk(second);
+  const std::size_t second_lost = (variant & 1) != 0 ? leader : other;
+  trio.network.crash(second_lost);
+  trio.network.loseDisk(second_lost);
   REQUIRE(trio.network.runUntil([&] { return trio.network.leader().has_value(); }, seconds(30)));
   const auto survivor = *trio.network.leader();
   const auto reply = trio.run(survivor, "show version");
   INFO((reply.error == nullptr ? "" : reply.error->message));
   REQUIRE(reply.version == accepted);
   REQUIRE(trio.run(survivor, "change { put tenant after }").version == accepted + 1);
-  // A resend of the repair is answered alike.
-  REQUIRE(trio.run(survivor, repair.replace).outcome == wire::Outcome::Completed);
+  // A repeated repair command is answered Completed again.
+  REQUIRE(trio.run(survivor, repair.replace_command).outcome == wire::Outcome::Completed);
 }
 
-TEST_CASE("a repair that is cut off half-way is not reported complete") {
+TEST_CASE("a repair is not reported complete if a partition of the leader interrupts it") {
   const int cut_after = GENERATE(range(0, 24));
   Trio trio;
   trio.begin();
   REQUIRE(trio.run(0, "change { put tenant wspolnota }").version == 1);
   const Repair repair(trio);
-  trio.network.start(repair.repaired);
+  trio.network.start(repair.new_replica);
   REQUIRE(trio.run(repair.leader, kAddReplica).outcome == wire::Outcome::Completed);
   trio.network.runFor(seconds(2));
-  const auto client = trio.send(repair.leader, Trio::command(repair.replace, trio.nextId()));
+  const auto client = trio.send(repair.leader, Trio::command(repair.replace_command, trio.nextId()));
   trio.network.runFor(std::chrono::milliseconds(cut_after));
   trio.network.cut(repair.leader);
   const bool is_complete = trio.answer(client).outcome == wire::Outcome::Completed;
   if (is_complete) {
-    // Then the loss of the second machine costs nothing.
+    // A repair that was reported complete must tolerate the loss of a second disk.
     trio.network.crash(repair.leader);
     trio.network.loseDisk(repair.leader);
   } else {
@@ -149,11 +150,11 @@
   REQUIRE(trio.network.runUntil([&] { return trio.network.leader().has_value(); }));
   trio.network.runFor(seconds(2));
   const auto leader = *trio.network.leader();
-  REQUIRE(trio.run(leader, repair.replace).outcome == wire::Outcome::Completed);
+  REQUIRE(trio.run(leader, repair.replace_command).outcome == wire::Outcome::Completed);
   REQUIRE(trio.run(leader, "show version").version == 1);
 }
 
-TEST_CASE("a state that did not fit a snapshot is stored once enough was deleted") {
+TEST_CASE("a state that exceeded the maximum snapshot size is stored after enough objects are deleted") {
   Trio trio;
   for (std::size_t i = 0; i < 3; ++i) {
     trio.network.options(i).consensus.snapshot_after_log_bytes = 4096;
