--- a/src/store/quota_ledger.h
+++ b/src/store/quota_ledger.h
@@ -37,8 +37,7 @@
 /// at the start of the window or was granted during it.
 ///
 /// Granted tokens expire kTokenLifetime after the node sent its request, which is before they were granted. A
-/// node that is partitioned, dead or frozen thus withholds tokens from other nodes for at most that
-/// time.
+/// node that is partitioned, dead or frozen thus withholds tokens from other nodes for at most that time.
 ///
 /// See docs/design/tenants.md for the alternatives considered.
 class QuotaLedger {
