--- a/src/consensus/consensus.h
+++ b/src/consensus/consensus.h
@@ -63,7 +63,7 @@
   /// Requests a read index (section 8 of the paper; section 6.4 of the dissertation): verifies leadership by
   /// a heartbeat round that begins after this call and is acknowledged by a quorum. The result is returned in
   /// Output::reads; if this replica is not the leader, it is available immediately with `confirmed` false.
-  void requestRead(ReadTicket ticket, TimePoint now);
+  void requestRead(ReadRequestId ticket, TimePoint now);
 
   /// Transfers leadership to another voter (section 3.10 of the dissertation). Proposals are refused until
   /// the target becomes leader or an election timeout elapses.
--- a/src/consensus/consensus_leader.cpp
+++ b/src/consensus/consensus_leader.cpp
@@ -46,7 +46,7 @@
   return appendAsLeader(wire::EntryKind::Command, std::move(command));
 }
 
-void Consensus::requestRead(ReadTicket ticket, TimePoint now) {
+void Consensus::requestRead(ReadRequestId ticket, TimePoint now) {
   if (role_ != Role::Failed) beginEvent(now);
   if (role_ != Role::Leader) {
     output_.reads.push_back({ticket, false, 0});
--- a/src/consensus/leader_state.h
+++ b/src/consensus/leader_state.h
@@ -77,7 +77,7 @@
 /// A linearizable read that waits until a quorum acknowledges its heartbeat round and the commit index
 /// reaches its read index.
 struct PendingRead {
-  ReadTicket ticket;
+  ReadRequestId ticket;
   std::uint64_t round = 0;
   LogIndex read_index = 0;
 };
--- a/src/consensus/output.h
+++ b/src/consensus/output.h
@@ -18,7 +18,7 @@
 using LogIndex = std::uint64_t;
 
 /// Identifies one read request; assigned by the caller and unique within one process.
-enum class ReadTicket : std::uint64_t {};
+enum class ReadRequestId : std::uint64_t {};
 
 using LogEntryPointer = std::shared_ptr<const wire::LogEntryT>;
 using SnapshotPointer = std::shared_ptr<const wire::ConsensusSnapshotT>;
@@ -47,7 +47,7 @@
 
 /// Result of requestRead().
 struct ReadResult {
-  ReadTicket ticket;
+  ReadRequestId ticket;
   /// True if this replica was the leader at some time after the request, and every entry up to read_index is
   /// in Output::committed of this or an earlier output. False if leadership could not be verified; the caller
   /// should retry at another replica.
--- a/src/store/claim_expiry.cpp
+++ b/src/store/claim_expiry.cpp
@@ -9,7 +9,7 @@
 constexpr int kScansPerTimeLimit = 8;
 
 /// The store itself proposes the end of an expired claim, so there is no client to reply to.
-constexpr Asker kNoRequester{};
+constexpr Requester kNoRequester{};
 
 }  // namespace
 
--- a/src/store/cluster_formation.cpp
+++ b/src/store/cluster_formation.cpp
@@ -47,7 +47,7 @@
   bootstrapIfAgreed(now);
 }
 
-void ClusterFormation::onRequest(const Asker& requester) {
+void ClusterFormation::onRequest(const Requester& requester) {
   wire::FormationReplyT reply;
   reply.replica = context_.options.self.id;
   reply.term = storedTerm();
--- a/src/store/cluster_formation.h
+++ b/src/store/cluster_formation.h
@@ -28,7 +28,7 @@
   /// Must be called after the consensus module has recovered its state from disk.
   void begin(TimePoint now);
   /// Replies to another replica with the term stored in this replica's data folder.
-  void onRequest(const Asker& requester);
+  void onRequest(const Requester& requester);
   void onReply(const wire::FormationReplyT& reply, TimePoint now);
   /// @return true while this replica must not begin an election.
   bool defersElections() const;
--- a/src/store/command_execution.cpp
+++ b/src/store/command_execution.cpp
@@ -11,44 +11,44 @@
 namespace cometstand::store {
 
 void CommandService::execute(const ExecutionContext& execution, const command::ShowVersion& /*query*/) {
-  sendReply(context_, execution.asker, showVersion(context_.state));
+  sendReply(context_, execution.requester, showVersion(context_.state));
 }
 
 void CommandService::execute(const ExecutionContext& execution, const command::ShowRoute& query) {
-  sendReply(context_, execution.asker, showRoute(context_.state, execution.identity.scope, query));
+  sendReply(context_, execution.requester, showRoute(context_.state, execution.identity.scope, query));
 }
 
 void CommandService::execute(const ExecutionContext& execution, const command::ShowRoutes& /*query*/) {
-  sendReply(context_, execution.asker, showRoutes(context_.state, execution.identity.scope));
+  sendReply(context_, execution.requester, showRoutes(context_.state, execution.identity.scope));
 }
 
 void CommandService::execute(const ExecutionContext& execution, const command::ShowServices& /*query*/) {
-  sendReply(context_, execution.asker, showServices(context_.state, execution.identity.scope));
+  sendReply(context_, execution.requester, showServices(context_.state, execution.identity.scope));
 }
 
 void CommandService::execute(const ExecutionContext& execution, const command::ShowNodes& /*query*/) {
-  sendReply(context_, execution.asker, showNodes(context_.state, execution.identity.scope));
+  sendReply(context_, execution.requester, showNodes(context_.state, execution.identity.scope));
 }
 
 void CommandService::execute(const ExecutionContext& execution, const command::ShowTenants& /*query*/) {
-  sendReply(context_, execution.asker, showTenants(context_.state, execution.identity.scope));
+  sendReply(context_, execution.requester, showTenants(context_.state, execution.identity.scope));
 }
 
 void CommandService::execute(const ExecutionContext& execution, const command::ShowSecrets& /*query*/) {
-  sendReply(context_, execution.asker, showSecrets(context_.state, execution.identity.scope));
+  sendReply(context_, execution.requester, showSecrets(context_.state, execution.identity.scope));
 }
 
 void CommandService::execute(const ExecutionContext& execution, const command::ShowChanges& query) {
-  sendReply(context_, execution.asker, showChanges(context_.state, execution.identity.scope, query));
+  sendReply(context_, execution.requester, showChanges(context_.state, execution.identity.scope, query));
 }
 
 void CommandService::execute(const ExecutionContext& execution, const command::ShowReplicas& /*query*/) {
-  sendReply(context_, execution.asker, dependencies_.replicas.showReplicas());
+  sendReply(context_, execution.requester, dependencies_.replicas.showReplicas());
 }
 
 void CommandService::execute(const ExecutionContext& execution, const command::ShowQuarantine& /*query*/) {
   requireAdministrator(execution);
-  sendReply(context_, execution.asker, showQuarantine(context_.state));
+  sendReply(context_, execution.requester, showQuarantine(context_.state));
 }
 
 void CommandService::execute(const ExecutionContext& execution, const command::ShowProxies& query) {
@@ -56,8 +56,8 @@
                        query](const wire::StatusReplyT& status) {
     return showProxies(state, scope, query, status);
   };
-  dependencies_.statuses.begin(execution.asker, dependencies_.readers.links(), wire::StatusRequestT(), render,
-                               execution.now);
+  dependencies_.statuses.begin(execution.requester, dependencies_.readers.links(), wire::StatusRequestT(),
+                               render, execution.now);
 }
 
 void CommandService::execute(const ExecutionContext& execution, const command::ShowEndpoints& query) {
@@ -69,12 +69,12 @@
   request.proxies = false;
   request.tenant = query.service.tenant.empty() ? execution.identity.scope.tenant : query.service.tenant;
   request.service = query.service.name;
-  dependencies_.statuses.begin(execution.asker, dependencies_.readers.links(), request, render,
+  dependencies_.statuses.begin(execution.requester, dependencies_.readers.links(), request, render,
                                execution.now);
 }
 
 void CommandService::execute(const ExecutionContext& execution, const command::WaitInForce& query) {
-  dependencies_.waits.add(execution.asker, query.version, query.timeout, execution.now);
+  dependencies_.waits.add(execution.requester, query.version, query.timeout, execution.now);
 }
 
 void CommandService::requireAdministrator(const ExecutionContext& execution) {
@@ -90,7 +90,7 @@
                 "send the command again once one does", context_.options.retry_after);
   }
   for (const auto link : links) context_.actions.send(link, order, 0);
-  sendReply(context_, execution.asker,
+  sendReply(context_, execution.requester,
             makeTable(context_.state.catalog().version(), {"order", "name", "relays_told"},
                       {{wire::EnumNameStopKind(order.kind), order.name, std::to_string(links.size())}}));
 }
@@ -137,32 +137,32 @@
 
 void CommandService::execute(const ExecutionContext& execution, const command::TransferLeader& order) {
   requireAdministrator(execution);
-  dependencies_.replicas.transferLeader(execution.asker, order.replica, execution.now);
+  dependencies_.replicas.transferLeader(execution.requester, order.replica, execution.now);
 }
 
 void CommandService::execute(const ExecutionContext& execution, const command::AddReplica& order) {
   requireAdministrator(execution);
-  dependencies_.replicas.addReplica(execution.asker, order.replica, execution.now);
+  dependencies_.replicas.addReplica(execution.requester, order.replica, execution.now);
 }
 
 void CommandService::execute(const ExecutionContext& execution, const command::ReplaceReplica& order) {
   requireAdministrator(execution);
-  dependencies_.replicas.replaceReplica(execution.asker, order.old_id, order.new_id, execution.now);
+  dependencies_.replicas.replaceReplica(execution.requester, order.old_id, order.new_id, execution.now);
 }
 
 void CommandService::execute(const ExecutionContext& execution, const command::RemoveReplica& order) {
   requireAdministrator(execution);
-  dependencies_.replicas.removeReplica(execution.asker, order.id, execution.now);
+  dependencies_.replicas.removeReplica(execution.requester, order.id, execution.now);
 }
 
 void CommandService::execute(const ExecutionContext& execution, const command::ReleaseContent& order) {
   requireAdministrator(execution);
-  dependencies_.quarantine.releaseByOperator(execution.asker, order.content, execution.now);
+  dependencies_.quarantine.releaseByOperator(execution.requester, order.content, execution.now);
 }
 
 void CommandService::execute(const ExecutionContext& execution, const command::ShowEvacuations& /*query*/) {
   requireAdministrator(execution);
-  sendReply(context_, execution.asker, showEvacuations(context_.state));
+  sendReply(context_, execution.requester, showEvacuations(context_.state));
 }
 
 void CommandService::execute(const ExecutionContext& execution, const command::EvacuateZone& order) {
@@ -170,7 +170,7 @@
   wire::EvacuationOrderT evacuation;
   evacuation.zone = order.zone;
   evacuation.is_evacuated = order.is_evacuated;
-  runEvacuationCommand(context_, dependencies_.evacuations, execution.asker, evacuation, execution.now);
+  runEvacuationCommand(context_, dependencies_.evacuations, execution.requester, evacuation, execution.now);
 }
 
 }  // namespace cometstand::store
--- a/src/store/command_forwarder.h
+++ b/src/store/command_forwarder.h
@@ -17,8 +17,8 @@
   /// @param may_change false for a query: if the leader's reply is lost, the outcome is NotRun instead of
   /// Unknown.
   /// @param time_limit after which the leader's reply counts as lost.
-  void forward(const Asker& asker, const wire::CommandRequestT& request, bool may_change, Duration time_limit,
-               TimePoint now);
+  void forward(const Requester& requester, const wire::CommandRequestT& request, bool may_change,
+               Duration time_limit, TimePoint now);
   void onReply(runtime::LinkId link, std::uint64_t request_id, const wire::CommandReplyT& reply);
   void onLinkClosed(runtime::LinkId link);
   void onTimer(TimePoint now);
@@ -27,7 +27,7 @@
 
  private:
   struct Pending {
-    Asker asker;
+    Requester requester;
     runtime::LinkId leader{};
     bool may_change = false;
     TimePoint deadline;
--- a/src/store/command_service.cpp
+++ b/src/store/command_service.cpp
@@ -26,7 +26,8 @@
 
 }  // namespace
 
-void CommandService::onCommand(const Asker& asker, const wire::CommandRequestT& request, TimePoint now) {
+void CommandService::onCommand(const Requester& requester, const wire::CommandRequestT& request,
+                               TimePoint now) {
   try {
     if (stopping_) {
       throw Error(ErrorKind::Stopping, "this replica is stopping", "send the command to another replica",
@@ -40,16 +41,16 @@
                   "1767225600000-5f3a, and keep it for resends");
     }
     if (context_.isLeader()) {
-      processOnLeader(asker, std::move(command), now);
+      processOnLeader(requester, std::move(command), now);
     } else if (request.forwarded) {
       throw Error(ErrorKind::Unavailable, "this replica does not lead", "send the command again",
                   context_.options.retry_after);
     } else {
-      dependencies_.forwarder.forward(asker, request, !command::isQuery(command->parsed),
+      dependencies_.forwarder.forward(requester, request, !command::isQuery(command->parsed),
                                       forwardTimeLimit(command->parsed), now);
     }
   } catch (const Error& error) {
-    sendReply(context_, asker, notRun<wire::CommandReplyT>(error));
+    sendReply(context_, requester, notRunReply<wire::CommandReplyT>(error));
   }
 }
 
@@ -64,18 +65,18 @@
   return time_limit;
 }
 
-void CommandService::processOnLeader(const Asker& asker, std::shared_ptr<const Command> command,
+void CommandService::processOnLeader(const Requester& requester, std::shared_ptr<const Command> command,
                                      TimePoint now) {
   if (std::holds_alternative<command::Change>(command->parsed)) {
     // Needs no quorum round: committing the log entry takes a quorum, and the state machine checks the
     // credential again at the log position.
     if (const auto identity = authenticate(command->request)) {
-      addChange(asker, *command, *identity, now);
+      addChange(requester, *command, *identity, now);
       return;
     }
   }
-  context_.reads.ask(
-      [this, asker, command = std::move(command)](bool confirmed, TimePoint confirmed_at) {
+  context_.reads.requestRead(
+      [this, requester, command = std::move(command)](bool confirmed, TimePoint confirmed_at) {
         try {
           if (!confirmed) {
             throw Error(ErrorKind::Unavailable, "this replica is not known to lead", "send the command again",
@@ -86,14 +87,14 @@
             throw Error(ErrorKind::Unauthenticated, "tenant, operator name or token is wrong",
                         "check the three, or ask an administrator for a new credential");
           }
-          const ExecutionContext execution{asker, *identity, confirmed_at};
+          const ExecutionContext execution{requester, *identity, confirmed_at};
           std::visit(Overloaded{[&](const command::Change& /*change*/) {
-                                  addChange(asker, *command, *identity, confirmed_at);
+                                  addChange(requester, *command, *identity, confirmed_at);
                                 },
                                 [&](const auto& other) { execute(execution, other); }},
                      command->parsed);
         } catch (const Error& error) {
-          sendReply(context_, asker, notRun<wire::CommandReplyT>(error));
+          sendReply(context_, requester, notRunReply<wire::CommandReplyT>(error));
         }
       },
       now);
@@ -116,7 +117,7 @@
   return Identity{{request.tenant, true}, 0};
 }
 
-void CommandService::addChange(const Asker& asker, const Command& command, const Identity& identity,
+void CommandService::addChange(const Requester& requester, const Command& command, const Identity& identity,
                                TimePoint now) {
   const auto& request = command.request;
   wire::ChangeCommandT change;
@@ -129,7 +130,7 @@
       command::toTransaction(std::get<command::Change>(command.parsed), request.tenant));
   wire::StoreCommandT store_command;
   store_command.body.Set(std::move(change));
-  dependencies_.writer.add(asker, std::move(store_command), request.text.size(), now);
+  dependencies_.writer.add(requester, std::move(store_command), request.text.size(), now);
 }
 
 }  // namespace cometstand::store
--- a/src/store/command_service.h
+++ b/src/store/command_service.h
@@ -8,7 +8,7 @@
 #include "store/evacuation_service.h"
 #include "store/in_force_waits.h"
 #include "store/log_writer.h"
-#include "store/quarantine_keeper.h"
+#include "store/quarantine_controller.h"
 #include "store/queries.h"
 #include "store/reader_hub.h"
 #include "store/replica_admin.h"
@@ -25,7 +25,7 @@
   InForceWaits& waits;
   ReplicaAdmin& replicas;
   CommandForwarder& forwarder;
-  QuarantineKeeper& quarantine;
+  QuarantineController& quarantine;
   EvacuationService& evacuations;
 };
 
@@ -38,7 +38,7 @@
   CommandService(StoreContext& context, CommandDependencies dependencies)
       : context_(context), dependencies_(dependencies) {}
 
-  void onCommand(const Asker& asker, const wire::CommandRequestT& request, TimePoint now);
+  void onCommand(const Requester& requester, const wire::CommandRequestT& request, TimePoint now);
   void beginStop() { stopping_ = true; }
 
  private:
@@ -55,13 +55,13 @@
 
   /// Execution of one command on a leader that a quorum has confirmed.
   struct ExecutionContext {
-    Asker asker;
+    Requester requester;
     Identity identity;
     TimePoint now;
   };
 
-  void processOnLeader(const Asker& asker, std::shared_ptr<const Command> command, TimePoint now);
-  void addChange(const Asker& asker, const Command& command, const Identity& identity, TimePoint now);
+  void processOnLeader(const Requester& requester, std::shared_ptr<const Command> command, TimePoint now);
+  void addChange(const Requester& requester, const Command& command, const Identity& identity, TimePoint now);
   std::optional<Identity> authenticate(const wire::CommandRequestT& request) const;
   Duration forwardTimeLimit(const command::Command& command) const;
 
--- a/src/store/evacuation_commands.cpp
+++ b/src/store/evacuation_commands.cpp
@@ -16,26 +16,26 @@
       return makeTable(state.catalog().version(), {"zone", "state"},
                        {{order.zone, order.is_evacuated ? "evacuated" : "in use"}});
     case EvacuationAnswerKind::UnknownZone:
-      return notRun<wire::CommandReplyT>(Error(ErrorKind::NotFound,
-                                               fmt::format("zone {} is not known", order.zone),
-                                               "name a zone of the setting store.zones"));
+      return notRunReply<wire::CommandReplyT>(Error(ErrorKind::NotFound,
+                                                    fmt::format("zone {} is not known", order.zone),
+                                                    "name a zone of the setting store.zones"));
     case EvacuationAnswerKind::NotLeader:
-      return notRun<wire::CommandReplyT>(
+      return notRunReply<wire::CommandReplyT>(
           Error(ErrorKind::Unavailable, "this replica does not lead any more", "send the command again"));
     case EvacuationAnswerKind::Unknown:
       break;
   }
-  return unknownOutcome<wire::CommandReplyT>(Error(
+  return unknownOutcomeReply<wire::CommandReplyT>(Error(
       ErrorKind::Unknown, "whether the order took effect is not known, or the zone was changed a moment ago",
       "see show evacuations, and send the command again"));
 }
 
 }  // namespace
 
-void runEvacuationCommand(StoreContext& context, EvacuationService& service, const Asker& asker,
+void runEvacuationCommand(StoreContext& context, EvacuationService& service, const Requester& requester,
                           const wire::EvacuationOrderT& order, TimePoint now) {
-  const auto answer = [&context, asker, order](const EvacuationAnswer& result) {
-    sendReply(context, asker, replyTo(context.state, order, result));
+  const auto answer = [&context, requester, order](const EvacuationAnswer& result) {
+    sendReply(context, requester, replyTo(context.state, order, result));
   };
   service.order(order, answer, now);
 }
--- a/src/store/evacuation_commands.h
+++ b/src/store/evacuation_commands.h
@@ -6,9 +6,9 @@
 
 namespace cometstand::store {
 
-/// Executes an operator's command to evacuate a zone or to end its evacuation. The asker gets exactly one
+/// Executes an operator's command to evacuate a zone or to end its evacuation. The requester gets exactly one
 /// reply, during the call or later.
-void runEvacuationCommand(StoreContext& context, EvacuationService& service, const Asker& asker,
+void runEvacuationCommand(StoreContext& context, EvacuationService& service, const Requester& requester,
                           const wire::EvacuationOrderT& order, TimePoint now);
 
 /// @return a table of all zones that have ever been evacuated, with their current state.
--- a/src/store/evacuation_service.cpp
+++ b/src/store/evacuation_service.cpp
@@ -33,7 +33,7 @@
 void EvacuationService::order(const wire::EvacuationOrderT& order, const EvacuationAnswerHandler& handler,
                               TimePoint now) {
   if (!context_.isLeader()) {
-    handler({EvacuationAnswerKind::NotLeader, context_.otherLeader()});
+    handler({EvacuationAnswerKind::NotLeader, context_.remoteLeader()});
     return;
   }
   if (!isKnownZone(order.zone)) {
@@ -57,7 +57,7 @@
   if (proposals_.propose(order, answer, now)) {
     changes_[order.zone].proposed = order.is_evacuated;
   } else {
-    handler({EvacuationAnswerKind::NotLeader, context_.otherLeader()});
+    handler({EvacuationAnswerKind::NotLeader, context_.remoteLeader()});
   }
 }
 
--- a/src/store/evacuation_service.h
+++ b/src/store/evacuation_service.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string>
 
-#include "store/proposal_waits.h"
+#include "store/pending_proposals.h"
 
 namespace cometstand::store {
 
@@ -82,7 +82,7 @@
   bool mayBeDelayedDuplicate(const wire::EvacuationOrderT& order, TimePoint now);
 
   StoreContext& context_;
-  ProposalWaits proposals_{context_};
+  PendingProposals proposals_{context_};
   std::map<std::string, Change> changes_;
 };
 
--- a/src/store/events.h
+++ b/src/store/events.h
@@ -17,7 +17,7 @@
     3003, LogLevel::Info, "reader_refused",
     "A relay was rejected as a reader and given the time to retry or the replica to use instead. Follow the "
     "remedy in the event if it repeats."};
-inline constexpr EventDefinition kReaderSilent{
+inline constexpr EventDefinition kReaderUnresponsive{
     3004, LogLevel::Warning, "reader_silent",
     "A reader did not respond while another relay of its zone requested admission; its link was closed. "
     "Check the relay that did not respond."};
@@ -97,10 +97,10 @@
     "Run the same release on all stores."};
 
 inline constexpr std::array kStoreEvents{
-    kReaderAdmitted, kReaderLost,         kReaderRefused,   kReaderSilent,     kSnapshotTooLarge,
-    kUnexpectedPeer, kStopBegan,          kReplacementDone, kBootstrapRefused, kFormationWaiting,
-    kMembershipStep, kNodeLinked,         kNodeLost,        kRolloutOrdered,   kRolloutStep,
-    kCrashReported,  kContentQuarantined, kContentCleared,  kContentReleased,  kEvacuationOrdered,
+    kReaderAdmitted, kReaderLost,         kReaderRefused,   kReaderUnresponsive, kSnapshotTooLarge,
+    kUnexpectedPeer, kStopBegan,          kReplacementDone, kBootstrapRefused,   kFormationWaiting,
+    kMembershipStep, kNodeLinked,         kNodeLost,        kRolloutOrdered,     kRolloutStep,
+    kCrashReported,  kContentQuarantined, kContentCleared,  kContentReleased,    kEvacuationOrdered,
     kQuotaBegan,     kQuotaUnreadable};
 
 }  // namespace cometstand::store
--- a/src/store/in_force_waits.cpp
+++ b/src/store/in_force_waits.cpp
@@ -11,9 +11,10 @@
 
 namespace cometstand::store {
 
-void InForceWaits::add(const Asker& asker, std::uint64_t version, Duration time_limit, TimePoint now) {
+void InForceWaits::add(const Requester& requester, std::uint64_t version, Duration time_limit,
+                       TimePoint now) {
   const Duration limit = std::min(time_limit, context_.options.max_wait);
-  waits_.push_back({asker, version, now + limit});
+  waits_.push_back({requester, version, now + limit});
   check();
 }
 
@@ -39,7 +40,7 @@
       ++wait;
       continue;
     }
-    sendReply(context_, wait->asker,
+    sendReply(context_, wait->requester,
               makeTable(wait->version, {"version", "proxies"},
                         {{std::to_string(wait->version), std::to_string(readers_.inForce().proxies)}}));
     wait = waits_.erase(wait);
@@ -48,9 +49,10 @@
 
 void InForceWaits::onLeadershipLost() {
   for (const auto& wait : waits_) {
-    sendReply(context_, wait.asker,
-              notRun<wire::CommandReplyT>(Error(ErrorKind::Unavailable, "this replica no longer leads",
-                                                "send the command again", context_.options.retry_after)));
+    sendReply(
+        context_, wait.requester,
+        notRunReply<wire::CommandReplyT>(Error(ErrorKind::Unavailable, "this replica no longer leads",
+                                               "send the command again", context_.options.retry_after)));
   }
   waits_.clear();
 }
@@ -68,7 +70,7 @@
                     "version in force on them is {}",
                     wait->version, summary.proxies, nodeCount(), summary.version),
         "see show proxies for the nodes that lag or are silent");
-    sendReply(context_, wait->asker, notRun<wire::CommandReplyT>(error));
+    sendReply(context_, wait->requester, notRunReply<wire::CommandReplyT>(error));
     wait = waits_.erase(wait);
   }
 }
--- a/src/store/in_force_waits.h
+++ b/src/store/in_force_waits.h
@@ -15,7 +15,7 @@
  public:
   InForceWaits(StoreContext& context, const ReaderHub& readers) : context_(context), readers_(readers) {}
 
-  void add(const Asker& asker, std::uint64_t version, Duration time_limit, TimePoint now);
+  void add(const Requester& requester, std::uint64_t version, Duration time_limit, TimePoint now);
   /// Answers the requests whose version is now in force; to be called after new reports or changes.
   void check();
   void onLeadershipLost();
@@ -24,7 +24,7 @@
 
  private:
   struct Wait {
-    Asker asker;
+    Requester requester;
     std::uint64_t version = 0;
     TimePoint deadline;
   };
--- a/src/store/leader_reads.h
+++ b/src/store/leader_reads.h
@@ -20,8 +20,8 @@
   explicit LeaderReads(consensus::Consensus& consensus) : consensus_(consensus) {}
 
   /// Requests a confirmed read. The action is called exactly once, from a later onResult().
-  void ask(Action action, TimePoint now) {
-    const consensus::ReadTicket ticket{++last_ticket_};
+  void requestRead(Action action, TimePoint now) {
+    const consensus::ReadRequestId ticket{++last_ticket_};
     actions_.emplace(ticket, std::move(action));
     consensus_.requestRead(ticket, now);
   }
@@ -39,7 +39,7 @@
  private:
   consensus::Consensus& consensus_;
   std::uint64_t last_ticket_ = 0;
-  std::map<consensus::ReadTicket, Action> actions_;
+  std::map<consensus::ReadRequestId, Action> actions_;
 };
 
 }  // namespace cometstand::store
--- a/src/store/log_writer.cpp
+++ b/src/store/log_writer.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-void sendReply(StoreContext& context, const Asker& asker, wire::CommandReplyT reply) {
+void sendReply(StoreContext& context, const Requester& requester, wire::CommandReplyT reply) {
   switch (reply.outcome) {
     case wire::Outcome::Completed:
       ++context.metrics.commands_completed;
@@ -36,15 +36,15 @@
       ++context.metrics.commands_unknown;
       break;
   }
-  context.actions.send(asker.link, std::move(reply), asker.request_id);
+  context.actions.send(requester.link, std::move(reply), requester.request_id);
 }
 
-void LogWriter::add(const Asker& asker, wire::StoreCommandT command, std::size_t estimated_bytes,
+void LogWriter::add(const Requester& requester, wire::StoreCommandT command, std::size_t estimated_bytes,
                     TimePoint now) {
   const bool is_claim = command.body.type != wire::StoreCommandBody::ChangeCommand;
   const std::string tenant = tenantOf(command);
   const TimePoint deadline = now + context_.options.command_time_limit;
-  Waiting waiting{{asker, is_claim, false, deadline}, tenant, std::move(command), estimated_bytes};
+  Waiting waiting{{requester, is_claim, false, deadline}, tenant, std::move(command), estimated_bytes};
   if (isFull(tenant)) {
     fail(waiting.pending, wire::Outcome::NotRun,
          Error(ErrorKind::Overloaded, "too many commands wait for the log", "send the command again later",
@@ -113,10 +113,10 @@
 void LogWriter::answer(Pending& pending, const CommandResult& result) {
   if (std::exchange(pending.answered, true)) return;
   if (const auto* reply = std::get_if<wire::CommandReplyT>(&result)) {
-    sendReply(context_, pending.asker, *reply);
+    sendReply(context_, pending.requester, *reply);
   } else if (const auto* claim = std::get_if<wire::ClaimReplyT>(&result)) {
     ++context_.metrics.claims_answered;
-    context_.actions.send(pending.asker.link, *claim, pending.asker.request_id);
+    context_.actions.send(pending.requester.link, *claim, pending.requester.request_id);
   }
 }
 
--- a/src/store/log_writer.h
+++ b/src/store/log_writer.h
@@ -22,7 +22,8 @@
   /// Queues one command. If the queue is full, the command is rejected immediately. One tenant may occupy
   /// only a part of the queue, so that it cannot block other tenants.
   /// @param estimated_bytes approximate size of the command in a log entry.
-  void add(const Asker& asker, wire::StoreCommandT command, std::size_t estimated_bytes, TimePoint now);
+  void add(const Requester& requester, wire::StoreCommandT command, std::size_t estimated_bytes,
+           TimePoint now);
 
   /// Appends queued commands to the log, up to the limit on batches in flight.
   void flush(TimePoint now);
@@ -39,7 +40,7 @@
 
  private:
   struct Pending {
-    Asker asker;
+    Requester requester;
     bool is_claim = false;
     bool answered = false;
     TimePoint deadline;
@@ -70,6 +71,6 @@
 };
 
 /// Counts the outcome of an operator command in the metrics and sends the reply.
-void sendReply(StoreContext& context, const Asker& asker, wire::CommandReplyT reply);
+void sendReply(StoreContext& context, const Requester& requester, wire::CommandReplyT reply);
 
 }  // namespace cometstand::store
--- a/src/store/mesh_service.cpp
+++ b/src/store/mesh_service.cpp
@@ -8,7 +8,7 @@
   MeshAnswer answer;
   answer.kind = MeshAnswerKind::NotLeader;
   answer.revision = context_.state.mesh().revision();
-  answer.leader = context_.otherLeader();
+  answer.leader = context_.remoteLeader();
   return answer;
 }
 
@@ -45,7 +45,7 @@
     handler(notLeader());
     return;
   }
-  context_.reads.ask(
+  context_.reads.requestRead(
       [this, handler = std::move(handler)](bool confirmed, TimePoint) {
         if (!confirmed) {
           handler(notLeader());
--- a/src/store/mesh_service.h
+++ b/src/store/mesh_service.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "store/mesh_register.h"
-#include "store/proposal_waits.h"
+#include "store/pending_proposals.h"
 #include "store/store_context.h"
 
 namespace cometstand::store {
@@ -63,7 +63,7 @@
   MeshAnswer answerOf(const CommandResult* result) const;
 
   StoreContext& context_;
-  ProposalWaits proposals_{context_};
+  PendingProposals proposals_{context_};
 };
 
 }  // namespace cometstand::store
--- a/src/store/node_hub.cpp
+++ b/src/store/node_hub.cpp
@@ -161,12 +161,12 @@
   const auto& rollouts = context_.state.rollouts();
   const auto& all = rollouts.all();
   const bool is_in_progress =
-      std::any_of(all.begin(), all.end(), [](const auto& item) { return !isOver(item.second->phase); });
+      std::any_of(all.begin(), all.end(), [](const auto& item) { return !isFinished(item.second->phase); });
   const bool is_due =
-      sent_rollouts_ != rollouts.changes() || (is_in_progress && now >= next_rollout_update_at_);
+      sent_rollouts_ != rollouts.changeCount() || (is_in_progress && now >= next_rollout_update_at_);
   // Without a leader the state may be outdated, so the nodes' leases must expire.
   if (!is_due || !hasLeader()) return;
-  sent_rollouts_ = rollouts.changes();
+  sent_rollouts_ = rollouts.changeCount();
   next_rollout_update_at_ = now + kRolloutUpdateInterval;
   const auto message = makeRolloutUpdate();
   for (const auto& [link, node] : nodes_) {
--- a/src/store/node_hub.h
+++ b/src/store/node_hub.h
@@ -117,7 +117,8 @@
   /// Whether this replica had a leader when heartbeats were sent last.
   bool had_leader_ = false;
   TimePoint next_timer_at_;
-  /// RolloutRegister::changes() of the last update to the subscribed nodes, and when to send the next one.
+  /// RolloutRegister::changeCount() of the last update to the subscribed nodes, and when to send the next
+  /// one.
   std::uint64_t sent_rollouts_ = 0;
   TimePoint next_rollout_update_at_;
   /// QuarantineRegister::lastNumber() of the last update to the subscribed nodes.
--- a/src/store/proposal_waits.cpp
+++ b/src/store/pending_proposals.cpp
@@ -1,10 +1,10 @@
-#include "store/proposal_waits.h"
+#include "store/pending_proposals.h"
 
 #include <utility>
 
 namespace cometstand::store {
 
-bool ProposalWaits::proposeBatch(const wire::StoreCommandBatchT& batch, Handler handler, TimePoint now) {
+bool PendingProposals::proposeBatch(const wire::StoreCommandBatchT& batch, Handler handler, TimePoint now) {
   if (!context_.isLeader()) return false;
   const auto index = context_.consensus.propose(encodeBatch(batch), now);
   if (!index) return false;
@@ -13,7 +13,7 @@
   return true;
 }
 
-void ProposalWaits::onApplied(const wire::LogEntryT& entry, const std::vector<CommandResult>& results) {
+void PendingProposals::onApplied(const wire::LogEntryT& entry, const std::vector<CommandResult>& results) {
   while (!pending_.empty() && pending_.front().index <= entry.index) {
     const Pending pending = std::move(pending_.front());
     pending_.pop_front();
@@ -23,11 +23,11 @@
   }
 }
 
-void ProposalWaits::onLeadershipLost() {
+void PendingProposals::onLeadershipLost() {
   for (const auto& pending : std::exchange(pending_, {})) pending.handler(nullptr);
 }
 
-void ProposalWaits::onTimer(TimePoint now) {
+void PendingProposals::onTimer(TimePoint now) {
   while (!pending_.empty() && pending_.front().deadline <= now) {
     const Pending pending = std::move(pending_.front());
     pending_.pop_front();
@@ -35,7 +35,7 @@
   }
 }
 
-TimePoint ProposalWaits::nextTimer() const {
+TimePoint PendingProposals::nextTimer() const {
   return pending_.empty() ? TimePoint::max() : pending_.front().deadline;
 }
 
--- a/src/store/proposal_waits.h
+++ b/src/store/pending_proposals.h
@@ -10,12 +10,12 @@
 
 /// Proposals from callers in the same process, each one command in its own log entry, that have not been
 /// applied yet.
-class ProposalWaits {
+class PendingProposals {
  public:
   /// @param result of the command; nullptr if it is unknown whether the command took effect.
   using Handler = std::function<void(const CommandResult* result)>;
 
-  explicit ProposalWaits(StoreContext& context) : context_(context) {}
+  explicit PendingProposals(StoreContext& context) : context_(context) {}
 
   /// Proposes the command.
   /// @param handler called exactly once, after this function returned true; never called if it returned
--- a/src/store/quarantine_keeper.cpp
+++ b/src/store/quarantine_controller.cpp
@@ -1,4 +1,4 @@
-#include "store/quarantine_keeper.h"
+#include "store/quarantine_controller.h"
 
 #include <fmt/format.h>
 #include <fmt/ranges.h>
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-std::uint64_t QuarantineKeeper::crashEventFor(const std::string& service, TimePoint now) {
+std::uint64_t QuarantineController::crashEventFor(const std::string& service, TimePoint now) {
   auto& event = crash_events_[service];
   if (event.number != 0 && now < event.began_at + kCrashEventWindow) return event.number;
   last_crash_event_ = std::max(last_crash_event_, context_.state.quarantine().lastEvent()) + 1;
@@ -55,12 +55,12 @@
   return event.number;
 }
 
-bool QuarantineKeeper::isDuplicateProposal(const std::string& key, TimePoint now) {
+bool QuarantineController::isDuplicateProposal(const std::string& key, TimePoint now) {
   std::erase_if(proposed_at_, [now](const auto& item) { return item.second + kProposalTimeout <= now; });
   return !proposed_at_.emplace(key, now).second;
 }
 
-void QuarantineKeeper::onReport(runtime::LinkId link, const wire::CrashReportT& report, TimePoint now) {
+void QuarantineController::onReport(runtime::LinkId link, const wire::CrashReportT& report, TimePoint now) {
   if (context_.state.quarantine().hasCountedInstance(report.instance)) {
     wire::CrashReportT acknowledgement;
     acknowledgement.instance = report.instance;
@@ -78,7 +78,7 @@
   propose(std::move(command), now);
 }
 
-void QuarantineKeeper::onClearance(const wire::ContentClearanceT& clearance, TimePoint now) {
+void QuarantineController::onClearance(const wire::ContentClearanceT& clearance, TimePoint now) {
   if (!context_.isLeader() || clearance.digest == nullptr) return;
   const auto digest = mesh::readDigest(*clearance.digest);
   const auto record = context_.state.quarantine().find(digest);
@@ -94,7 +94,7 @@
 }
 
 template <typename Command>
-void QuarantineKeeper::propose(Command command, TimePoint now) {
+void QuarantineController::propose(Command command, TimePoint now) {
   wire::StoreCommandBatchT batch;
   auto command_pointer = std::make_shared<wire::StoreCommandT>();
   command_pointer->body.Set(std::move(command));
@@ -103,7 +103,7 @@
   if (!context_.consensus.propose(encodeBatch(batch), now)) proposed_at_.clear();
 }
 
-void QuarantineKeeper::logChanges() {
+void QuarantineController::logChanges() {
   const auto& quarantine = context_.state.quarantine();
   if (quarantine.lastNumber() == last_logged_number_) return;
   for (const auto& [digest, record] : quarantine.all()) {
@@ -119,7 +119,7 @@
   last_logged_number_ = quarantine.lastNumber();
 }
 
-void QuarantineKeeper::onLeadershipLost() {
+void QuarantineController::onLeadershipLost() {
   proposed_at_.clear();
   operator_releases_.onLeadershipLost();
   observations_.clear();
@@ -127,7 +127,7 @@
 }
 
 /// Ages are not replicated: a new leader starts to measure them from zero.
-void QuarantineKeeper::scan(TimePoint now) {
+void QuarantineController::scan(TimePoint now) {
   const auto& records = context_.state.quarantine().all();
   std::erase_if(observations_, [&records](const auto& item) { return !records.contains(item.first); });
   for (const auto& [digest, record] : records) {
@@ -137,7 +137,7 @@
   }
 }
 
-void QuarantineKeeper::release(const wire::ContentRecordT& record, Duration age, TimePoint now) {
+void QuarantineController::release(const wire::ContentRecordT& record, Duration age, TimePoint now) {
   const auto digest = mesh::readDigest(*record.digest);
   if (isDuplicateProposal(mesh::formatDigest(digest), now)) return;
   wire::ContentReleaseT release;
@@ -154,7 +154,8 @@
   propose(std::move(release), now);
 }
 
-void QuarantineKeeper::releaseByOperator(const Asker& asker, const std::string& content, TimePoint now) {
+void QuarantineController::releaseByOperator(const Requester& requester, const std::string& content,
+                                             TimePoint now) {
   const auto& records = context_.state.quarantine().all();
   const auto found = std::find_if(records.begin(), records.end(), [&content](const auto& item) {
     return mesh::formatDigest(item.first) == content;
@@ -173,14 +174,15 @@
                               {"state", wire::EnumNameContentState(record.state)},
                               {"final", true},
                               {"reason", "an operator's order"}});
-  const auto reply = [this, asker, content](const CommandResult* result) {
+  const auto reply = [this, requester, content](const CommandResult* result) {
     if (result != nullptr) {
-      sendReply(context_, asker, makeTable(context_.state.catalog().version(), {"released"}, {{content}}));
+      sendReply(context_, requester,
+                makeTable(context_.state.catalog().version(), {"released"}, {{content}}));
       return;
     }
     const Error error(ErrorKind::Unknown, "whether the content was released is not known",
                       "see show quarantine");
-    sendReply(context_, asker, unknownOutcome<wire::CommandReplyT>(error));
+    sendReply(context_, requester, unknownOutcomeReply<wire::CommandReplyT>(error));
   };
   if (!operator_releases_.propose(std::move(release), reply, now)) {
     throw Error(ErrorKind::Unavailable, "this replica does not lead any more", "send the command again",
@@ -188,14 +190,14 @@
   }
 }
 
-void QuarantineKeeper::onTimer(TimePoint now) {
+void QuarantineController::onTimer(TimePoint now) {
   operator_releases_.onTimer(now);
   if (now < next_scan_at_ || !context_.isLeader()) return;
   next_scan_at_ = now + kScanInterval;
   scan(now);
 }
 
-TimePoint QuarantineKeeper::nextTimer() const {
+TimePoint QuarantineController::nextTimer() const {
   const bool has_records = !context_.state.quarantine().all().empty();
   const TimePoint scan_at = context_.isLeader() && has_records ? next_scan_at_ : TimePoint::max();
   return std::min(scan_at, operator_releases_.nextTimer());
--- a/src/store/quarantine_keeper.h
+++ b/src/store/quarantine_controller.h
@@ -3,7 +3,7 @@
 #include <map>
 #include <string>
 
-#include "store/proposal_waits.h"
+#include "store/pending_proposals.h"
 #include "store/store_context.h"
 
 namespace cometstand::store {
@@ -11,15 +11,15 @@
 /// Leader-side controller of the quarantine: proposes nodes' crash reports and clearances as log entries, and
 /// proposes the release of records whose lease has expired. Lost reports and proposals are not retried here,
 /// since the nodes report again.
-class QuarantineKeeper {
+class QuarantineController {
  public:
-  explicit QuarantineKeeper(StoreContext& context) : context_(context) {}
+  explicit QuarantineController(StoreContext& context) : context_(context) {}
 
   /// @param link of the node; a report that was applied before is acknowledged on it.
   void onReport(runtime::LinkId link, const wire::CrashReportT& report, TimePoint now);
   /// Replies once the record of the content is removed.
   /// @throw Error(NotFound) if there is no record of the content.
-  void releaseByOperator(const Asker& asker, const std::string& content, TimePoint now);
+  void releaseByOperator(const Requester& requester, const std::string& content, TimePoint now);
   void onClearance(const wire::ContentClearanceT& clearance, TimePoint now);
   void onApplied(const wire::LogEntryT& entry, const std::vector<CommandResult>& results) {
     operator_releases_.onApplied(entry, results);
@@ -58,7 +58,7 @@
   /// Times of recent proposals, by the instance of a crash report or the content of a clearance or release.
   std::map<std::string, TimePoint> proposed_at_;
   /// Proposals of releases that operators requested.
-  ProposalWaits operator_releases_{context_};
+  PendingProposals operator_releases_{context_};
   std::map<mesh::ContentDigest, Observation> observations_;
   TimePoint next_scan_at_;
   /// QuarantineRegister::lastNumber() at the last call of logChanges().
--- a/src/store/queries.cpp
+++ b/src/store/queries.cpp
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-bool Scope::showsNode(const wire::NodeSpecT& node) const {
+bool Scope::canSeeNode(const wire::NodeSpecT& node) const {
   return administrator || std::find(node.tenants.begin(), node.tenants.end(), tenant) != node.tenants.end();
 }
 
@@ -75,7 +75,7 @@
   std::vector<proxy::ObjectPointer> objects;
   std::set<std::string> methods{""};
   for (const auto& [key, entry] : state.catalog().entries()) {
-    if (entry.object == nullptr || !scope.shows(key.tenant)) continue;
+    if (entry.object == nullptr || !scope.canSee(key.tenant)) continue;
     objects.push_back(entry.object);
     if (const auto* route = entry.object->spec.AsRouteSpec()) methods.insert(route->method);
   }
@@ -94,7 +94,7 @@
 wire::CommandReplyT showRoutes(const StateMachine& state, const Scope& scope) {
   Rows rows;
   forEachObject(state, wire::ObjectKind::Route, [&](const auto& key, const auto& entry) {
-    if (!scope.shows(key.tenant)) return;
+    if (!scope.canSee(key.tenant)) return;
     const auto& route = *entry.object->spec.AsRouteSpec();
     rows.push_back({key.tenant, key.name, orAny(route.host), route.path_prefix, orAny(route.method),
                     route.service, route.secret, requestClassName(route.request_class),
@@ -110,7 +110,7 @@
 wire::CommandReplyT showServices(const StateMachine& state, const Scope& scope) {
   Rows rows;
   forEachObject(state, wire::ObjectKind::Service, [&](const auto& key, const auto& entry) {
-    if (!scope.shows(key.tenant)) return;
+    if (!scope.canSee(key.tenant)) return;
     const auto& service = *entry.object->spec.AsServiceSpec();
     rows.push_back(
         {key.tenant, key.name, std::to_string(service.endpoints.size()), std::to_string(entry.version)});
@@ -122,7 +122,7 @@
   Rows rows;
   forEachObject(state, wire::ObjectKind::Node, [&](const auto& key, const auto& entry) {
     const auto& node = *entry.object->spec.AsNodeSpec();
-    if (!scope.showsNode(node)) return;
+    if (!scope.canSeeNode(node)) return;
     const std::string tenants =
         scope.administrator ? fmt::format("{}", fmt::join(node.tenants, ",")) : scope.tenant;
     rows.push_back({key.name, node.zone, tenants, std::to_string(entry.version)});
@@ -133,7 +133,7 @@
 wire::CommandReplyT showTenants(const StateMachine& state, const Scope& scope) {
   Rows rows;
   forEachObject(state, wire::ObjectKind::Tenant, [&](const auto& key, const auto& entry) {
-    if (!scope.shows(key.tenant)) return;
+    if (!scope.canSee(key.tenant)) return;
     rows.push_back({key.tenant, std::to_string(entry.object->spec.AsTenantSpec()->max_in_flight),
                     std::to_string(entry.version)});
   });
@@ -143,7 +143,7 @@
 wire::CommandReplyT showSecrets(const StateMachine& state, const Scope& scope) {
   Rows rows;
   forEachObject(state, wire::ObjectKind::Secret, [&](const auto& key, const auto& entry) {
-    if (scope.shows(key.tenant)) rows.push_back({key.tenant, key.name, std::to_string(entry.version)});
+    if (scope.canSee(key.tenant)) rows.push_back({key.tenant, key.name, std::to_string(entry.version)});
   });
   return makeTable(state.catalog().version(), {"tenant", "secret", "changed_at"}, rows);
 }
@@ -167,10 +167,10 @@
   for (auto change = history.rbegin(); change != history.rend() && rows.size() < query.last; ++change) {
     std::vector<std::string> objects;
     for (const auto& key : (*change)->keys) {
-      if (scope.shows(key->tenant)) objects.push_back(config::formatKey(*key));
+      if (scope.canSee(key->tenant)) objects.push_back(config::formatKey(*key));
     }
-    if (objects.empty() && !scope.shows((*change)->tenant)) continue;
-    const bool is_visible = scope.shows((*change)->tenant);
+    if (objects.empty() && !scope.canSee((*change)->tenant)) continue;
+    const bool is_visible = scope.canSee((*change)->tenant);
     rows.push_back({std::to_string((*change)->version), is_visible ? (*change)->tenant : "",
                     is_visible ? (*change)->operator_name : "",
                     is_visible ? std::to_string((*change)->key_count) : "",
@@ -190,7 +190,7 @@
   Rows rows;
   forEachObject(state, wire::ObjectKind::Node, [&](const auto& key, const auto& entry) {
     const auto& node = *entry.object->spec.AsNodeSpec();
-    if (!scope.showsNode(node)) return;
+    if (!scope.canSeeNode(node)) return;
     wire::ProxyStatusT proxy;
     proxy.node = key.name;
     proxy.zone = node.zone;
@@ -208,7 +208,7 @@
                                   const command::ShowEndpoints& query, const wire::StatusReplyT& status) {
   const std::string tenant = query.service.tenant.empty() ? scope.tenant : query.service.tenant;
   const auto key = config::makeKey(wire::ObjectKind::Service, tenant, query.service.name);
-  const auto object = scope.shows(tenant) ? state.catalog().find(key) : nullptr;
+  const auto object = scope.canSee(tenant) ? state.catalog().find(key) : nullptr;
   if (object == nullptr) {
     throw Error(ErrorKind::NotFound, fmt::format("{} does not exist", config::formatKey(key)),
                 "check the name");
--- a/src/store/queries.h
+++ b/src/store/queries.h
@@ -16,9 +16,9 @@
   std::string tenant;
   bool administrator = false;
 
-  bool shows(const std::string& other_tenant) const { return administrator || other_tenant == tenant; }
+  bool canSee(const std::string& other_tenant) const { return administrator || other_tenant == tenant; }
   /// @return true if the tenant is assigned to the node, or the operator is an administrator.
-  bool showsNode(const wire::NodeSpecT& node) const;
+  bool canSeeNode(const wire::NodeSpecT& node) const;
 };
 
 wire::CommandReplyT showVersion(const StateMachine& state);
--- a/src/store/quota_service.cpp
+++ b/src/store/quota_service.cpp
@@ -30,7 +30,7 @@
 
 void QuotaService::onRequest(runtime::LinkId link, const wire::QuotaRequestT& request, TimePoint now) {
   auto response = ledger_.onRequest(link, request, now);
-  const auto leader = ledger_.isLeading() ? std::nullopt : context_.otherLeader();
+  const auto leader = ledger_.isLeading() ? std::nullopt : context_.remoteLeader();
   if (leader) {
     response.leader = std::make_shared<wire::NetworkEndpointT>();
     response.leader->host = leader->host;
--- a/src/store/quota_service.h
+++ b/src/store/quota_service.h
@@ -3,7 +3,7 @@
 #include <cstdint>
 #include <optional>
 
-#include "store/proposal_waits.h"
+#include "store/pending_proposals.h"
 #include "store/quota_ledger.h"
 
 namespace cometstand::store {
@@ -52,7 +52,7 @@
 
   StoreContext& context_;
   QuotaLedger ledger_;
-  ProposalWaits proposals_{context_};
+  PendingProposals proposals_{context_};
   std::optional<LeadershipState> leadership_;
   /// Earliest time of the next attempt after a record could not be proposed.
   TimePoint retry_at_;
--- a/src/store/reader_hub.cpp
+++ b/src/store/reader_hub.cpp
@@ -33,7 +33,7 @@
     refuseAsFollower(link);
     return;
   }
-  context_.reads.ask(
+  context_.reads.requestRead(
       [this, link, request](bool confirmed, TimePoint confirmed_at) {
         if (confirmed && !stopping_) {
           admit(link, request, confirmed_at);
@@ -148,7 +148,7 @@
 }
 
 void ReaderHub::onFreshnessRequest(LinkId link, std::uint64_t request_id, TimePoint now) {
-  context_.reads.ask(
+  context_.reads.requestRead(
       [this, link, request_id](bool confirmed, TimePoint /*confirmed_at*/) {
         if (confirmed) {
           context_.actions.send(link, makeBeat(), request_id);
@@ -269,7 +269,7 @@
     if (reader.liveness_deadline && *reader.liveness_deadline <= now) unresponsive.push_back(link);
   }
   for (const LinkId link : unresponsive) {
-    logEvent(kReaderSilent, {{"relay", readers_.at(link).relay}, {"zone", readers_.at(link).zone}});
+    logEvent(kReaderUnresponsive, {{"relay", readers_.at(link).relay}, {"zone", readers_.at(link).zone}});
     drop(link);
   }
   if (goodbye_deadline_ && *goodbye_deadline_ <= now) sendGoodbye();
--- a/src/store/reader_hub.h
+++ b/src/store/reader_hub.h
@@ -50,7 +50,7 @@
   /// To be called when the known leader may have changed; redirects former readers if the leader is known.
   void onLeaderChanged();
   /// @return true while former readers have not yet been redirected to the next leader.
-  bool owesGoodbye() const { return goodbye_deadline_.has_value(); }
+  bool hasPendingRedirects() const { return goodbye_deadline_.has_value(); }
   void beginStop() { stopping_ = true; }
   void onTimer(TimePoint now);
   TimePoint nextTimer() const;
--- a/src/store/replica_admin.cpp
+++ b/src/store/replica_admin.cpp
@@ -17,7 +17,7 @@
 
 using consensus::MembershipChangeKind;
 
-void ReplicaAdmin::addReplica(const Asker& asker, const command::NewReplica& replica, TimePoint now) {
+void ReplicaAdmin::addReplica(const Requester& requester, const command::NewReplica& replica, TimePoint now) {
   consensus::MembershipChange change;
   change.kind = MembershipChangeKind::AddLearner;
   change.replica.id = replica.id;
@@ -25,28 +25,28 @@
   change.replica.address = replica.address.host;
   change.replica.port = replica.address.port;
   change.replica.region = replica.region;
-  begin(asker, change, context_.options.command_time_limit, now);
+  begin(requester, change, context_.options.command_time_limit, now);
 }
 
-void ReplicaAdmin::removeReplica(const Asker& asker, consensus::ReplicaId id, TimePoint now) {
+void ReplicaAdmin::removeReplica(const Requester& requester, consensus::ReplicaId id, TimePoint now) {
   consensus::MembershipChange change;
   change.kind = MembershipChangeKind::RemoveReplica;
   change.replica.id = id;
-  begin(asker, change, context_.options.command_time_limit, now);
+  begin(requester, change, context_.options.command_time_limit, now);
 }
 
-void ReplicaAdmin::replaceReplica(const Asker& asker, consensus::ReplicaId old_id,
+void ReplicaAdmin::replaceReplica(const Requester& requester, consensus::ReplicaId old_id,
                                   consensus::ReplicaId new_id, TimePoint now) {
   consensus::MembershipChange change;
   change.kind = MembershipChangeKind::ReplaceVoter;
   change.replica.id = new_id;
   change.replaced = old_id;
-  begin(asker, change, context_.options.repair_time_limit, now);
+  begin(requester, change, context_.options.repair_time_limit, now);
 }
 
-void ReplicaAdmin::begin(const Asker& asker, const consensus::MembershipChange& change, Duration limit,
-                         TimePoint now) {
-  changes_.push_back({asker, change, Stage::Waiting, 0, now + limit, now});
+void ReplicaAdmin::begin(const Requester& requester, const consensus::MembershipChange& change,
+                         Duration limit, TimePoint now) {
+  changes_.push_back({requester, change, Stage::Waiting, 0, now + limit, now});
   step(now);
 }
 
@@ -102,7 +102,7 @@
       change.next_attempt = now + context_.options.consensus.heartbeat_interval;
       return false;
     }
-    sendReply(context_, change.asker, notRun<wire::CommandReplyT>(error));
+    sendReply(context_, change.requester, notRunReply<wire::CommandReplyT>(error));
     return true;
   }
 }
@@ -111,7 +111,7 @@
   if (change.change.kind == MembershipChangeKind::ReplaceVoter) {
     logEvent(kReplacementDone, {{"old", change.change.replaced}, {"new", change.change.replica.id}});
   }
-  sendReply(context_, change.asker, showReplicas());
+  sendReply(context_, change.requester, showReplicas());
 }
 
 void ReplicaAdmin::onLeadershipLost(bool same_term) {
@@ -123,12 +123,13 @@
     if (is_committed) {
       complete(change);
     } else if (change.stage == Stage::Waiting) {
-      sendReply(context_, change.asker,
-                notRun<wire::CommandReplyT>(Error(ErrorKind::Unavailable, "this replica no longer leads",
-                                                  "send the command again", context_.options.retry_after)));
+      sendReply(
+          context_, change.requester,
+          notRunReply<wire::CommandReplyT>(Error(ErrorKind::Unavailable, "this replica no longer leads",
+                                                 "send the command again", context_.options.retry_after)));
     } else {
-      sendReply(context_, change.asker,
-                unknownOutcome<wire::CommandReplyT>(
+      sendReply(context_, change.requester,
+                unknownOutcomeReply<wire::CommandReplyT>(
                     Error(ErrorKind::Unknown, "leadership was lost while the membership changed",
                           "send the command again; what already holds is answered completed",
                           context_.options.retry_after)));
@@ -137,13 +138,13 @@
   changes_.clear();
 }
 
-void ReplicaAdmin::transferLeader(const Asker& asker, consensus::ReplicaId target, TimePoint now) {
+void ReplicaAdmin::transferLeader(const Requester& requester, consensus::ReplicaId target, TimePoint now) {
   try {
     context_.consensus.transferLeadership(target, now);
-    transfers_.push_back({asker, target, now + context_.options.command_time_limit});
+    transfers_.push_back({requester, target, now + context_.options.command_time_limit});
     stepTransfers(now);
   } catch (const Error& error) {
-    sendReply(context_, asker, notRun<wire::CommandReplyT>(error));
+    sendReply(context_, requester, notRunReply<wire::CommandReplyT>(error));
   }
 }
 
@@ -153,20 +154,20 @@
     const bool is_done = leader == transfer->target;
     const bool is_elsewhere = leader != 0 && leader != context_.options.self.id && !is_done;
     if (is_done) {
-      sendReply(context_, transfer->asker,
+      sendReply(context_, transfer->requester,
                 makeTable(context_.state.catalog().version(), {"leader"}, {{std::to_string(leader)}}));
     } else if (is_elsewhere) {
-      sendReply(context_, transfer->asker,
-                notRun<wire::CommandReplyT>(
+      sendReply(context_, transfer->requester,
+                notRunReply<wire::CommandReplyT>(
                     Error(ErrorKind::Conflict, fmt::format("replica {} was elected", leader),
                           "send the command again if that does not suit", context_.options.retry_after)));
     } else if (transfer->deadline <= now) {
       const Error error(ErrorKind::Timeout, "the replica did not take leadership over in time",
                         "see show replicas; send the command again once the replica has caught up",
                         context_.options.retry_after);
-      sendReply(context_, transfer->asker,
-                context_.isLeader() ? notRun<wire::CommandReplyT>(error)
-                                    : unknownOutcome<wire::CommandReplyT>(error));
+      sendReply(context_, transfer->requester,
+                context_.isLeader() ? notRunReply<wire::CommandReplyT>(error)
+                                    : unknownOutcomeReply<wire::CommandReplyT>(error));
     } else {
       ++transfer;
       continue;
@@ -184,9 +185,9 @@
     const Error error(ErrorKind::Timeout, "the membership change did not end in time",
                       "see show replicas, check the new replica, and send the command again",
                       context_.options.retry_after);
-    sendReply(context_, change->asker,
-              change->stage == Stage::Waiting ? notRun<wire::CommandReplyT>(error)
-                                              : unknownOutcome<wire::CommandReplyT>(error));
+    sendReply(context_, change->requester,
+              change->stage == Stage::Waiting ? notRunReply<wire::CommandReplyT>(error)
+                                              : unknownOutcomeReply<wire::CommandReplyT>(error));
     change = changes_.erase(change);
   }
 }
--- a/src/store/replica_admin.h
+++ b/src/store/replica_admin.h
@@ -14,13 +14,13 @@
  public:
   explicit ReplicaAdmin(StoreContext& context) : context_(context) {}
 
-  void addReplica(const Asker& asker, const command::NewReplica& replica, TimePoint now);
-  void removeReplica(const Asker& asker, consensus::ReplicaId id, TimePoint now);
+  void addReplica(const Requester& requester, const command::NewReplica& replica, TimePoint now);
+  void removeReplica(const Requester& requester, consensus::ReplicaId id, TimePoint now);
   /// Answers Completed only after the new replica has caught up and is a voter, the old replica has been
   /// removed, and both changes are committed.
-  void replaceReplica(const Asker& asker, consensus::ReplicaId old_id, consensus::ReplicaId new_id,
+  void replaceReplica(const Requester& requester, consensus::ReplicaId old_id, consensus::ReplicaId new_id,
                       TimePoint now);
-  void transferLeader(const Asker& asker, consensus::ReplicaId target, TimePoint now);
+  void transferLeader(const Requester& requester, consensus::ReplicaId target, TimePoint now);
 
   /// Advances pending changes and transfers and answers the finished ones; to be called after each consensus
   /// step.
@@ -44,7 +44,7 @@
     InLog,
   };
   struct Change {
-    Asker asker;
+    Requester requester;
     consensus::MembershipChange change;
     Stage stage = Stage::Waiting;
     consensus::LogIndex index = 0;
@@ -52,12 +52,13 @@
     TimePoint next_attempt;
   };
   struct Transfer {
-    Asker asker;
+    Requester requester;
     consensus::ReplicaId target = 0;
     TimePoint deadline;
   };
 
-  void begin(const Asker& asker, const consensus::MembershipChange& change, Duration limit, TimePoint now);
+  void begin(const Requester& requester, const consensus::MembershipChange& change, Duration limit,
+             TimePoint now);
   /// @return true if the latest membership in the log already reflects the change.
   bool isInEffect(const consensus::MembershipChange& change) const;
   /// @return true if the change was answered and can be removed.
--- a/src/store/replies.h
+++ b/src/store/replies.h
@@ -18,12 +18,12 @@
 }
 
 template <typename Reply>
-Reply notRun(const Error& error) {
+Reply notRunReply(const Error& error) {
   return failedReply<Reply>(wire::Outcome::NotRun, error);
 }
 
 template <typename Reply>
-Reply unknownOutcome(const Error& error) {
+Reply unknownOutcomeReply(const Error& error) {
   return failedReply<Reply>(wire::Outcome::Unknown, error);
 }
 
--- a/src/store/request_table.cpp
+++ b/src/store/request_table.cpp
@@ -24,12 +24,12 @@
   const auto found = tenant->second.answered.find({time, command.request_id});
   if (found != tenant->second.answered.end()) {
     if (isSameCommand(*found->second, command)) return *found->second->reply;
-    return notRun<wire::CommandReplyT>(Error(ErrorKind::Mismatch,
-                                             "the request identifier was used for another command",
-                                             "send the command under a new identifier"));
+    return notRunReply<wire::CommandReplyT>(Error(ErrorKind::Mismatch,
+                                                  "the request identifier was used for another command",
+                                                  "send the command under a new identifier"));
   }
   if (time >= tenant->second.forgotten_before) return std::nullopt;
-  return unknownOutcome<wire::CommandReplyT>(
+  return unknownOutcomeReply<wire::CommandReplyT>(
       Error(ErrorKind::Unknown, "the request identifier is older than what the store remembers",
             "look at what is in force; if the change is not there, check this machine's clock and send the "
             "change under a new identifier"));
--- a/src/store/rollout_clock.h
+++ b/src/store/rollout_clock.h
@@ -16,8 +16,8 @@
  public:
   /// Must be called after log entries are applied.
   void refresh(const RolloutRegister& rollouts, TimePoint now) {
-    if (seen_changes_ == rollouts.changes()) return;
-    seen_changes_ = rollouts.changes();
+    if (seen_changes_ == rollouts.changeCount()) return;
+    seen_changes_ = rollouts.changeCount();
     for (const auto& [service, record] : rollouts.all()) {
       auto& start = starts_[service];
       const TimePoint ordered_at = now - std::chrono::milliseconds(record->elapsed_ms);
--- a/src/store/rollout_controller.cpp
+++ b/src/store/rollout_controller.cpp
@@ -105,7 +105,7 @@
     return;
   }
   for (const auto& [service, record] : context_.state.rollouts().all()) {
-    if (isOver(record->phase)) {
+    if (isFinished(record->phase)) {
       trackers_.erase(service);
       continue;
     }
@@ -117,7 +117,7 @@
 TimePoint RolloutController::nextTimer() const {
   const auto& all = context_.state.rollouts().all();
   const bool is_any_in_progress =
-      std::any_of(all.begin(), all.end(), [](const auto& item) { return !isOver(item.second->phase); });
+      std::any_of(all.begin(), all.end(), [](const auto& item) { return !isFinished(item.second->phase); });
   return is_any_in_progress ? next_check_at_ : TimePoint::max();
 }
 
--- a/src/store/rollout_register.cpp
+++ b/src/store/rollout_register.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-bool isOver(Phase phase) { return phase == Phase::Succeeded || phase == Phase::RolledBack; }
+bool isFinished(Phase phase) { return phase == Phase::Succeeded || phase == Phase::RolledBack; }
 
 RolloutPointer RolloutRegister::find(const std::string& service) const {
   const auto found = records_.find(service);
@@ -40,7 +40,7 @@
 
 RolloutResult RolloutRegister::apply(const wire::RolloutOrderT& order) {
   const auto latest = find(order.service);
-  const bool is_in_progress = latest != nullptr && !isOver(latest->phase);
+  const bool is_in_progress = latest != nullptr && !isFinished(latest->phase);
   if (equalsLatest(order) && (is_in_progress || order.may_repeat)) return RolloutResult::Accepted;
   if (is_in_progress) return RolloutResult::Conflict;
   auto record = std::make_shared<wire::RolloutRecordT>();
--- a/src/store/rollout_register.h
+++ b/src/store/rollout_register.h
@@ -23,7 +23,7 @@
 using RolloutPointer = std::shared_ptr<const wire::RolloutRecordT>;
 
 /// @return true if the phase is final.
-bool isOver(wire::RolloutPhase phase);
+bool isFinished(wire::RolloutPhase phase);
 
 /// Latest roll-out of each service. It is part of the replicated state: its changes depend only on the
 /// accepted orders and steps, and it reads no clock.
@@ -42,7 +42,7 @@
   /// @return true if the order is equal to the service's latest one.
   bool equalsLatest(const wire::RolloutOrderT& order) const;
   /// @return a counter that increases with each change.
-  std::uint64_t changes() const { return changes_; }
+  std::uint64_t changeCount() const { return changes_; }
 
   /// @return the state; nullptr if there is none.
   std::shared_ptr<wire::RolloutStateT> capture() const;
--- a/src/store/rollout_service.cpp
+++ b/src/store/rollout_service.cpp
@@ -19,7 +19,7 @@
 RolloutAnswer RolloutService::notLeader() const {
   RolloutAnswer answer;
   answer.kind = RolloutAnswerKind::NotLeader;
-  answer.leader = context_.otherLeader();
+  answer.leader = context_.remoteLeader();
   return answer;
 }
 
@@ -65,7 +65,7 @@
     handler(notLeader());
     return;
   }
-  context_.reads.ask(
+  context_.reads.requestRead(
       [this, service, handler = std::move(handler)](bool confirmed, TimePoint) {
         if (!confirmed) {
           handler(notLeader());
--- a/src/store/rollout_service.h
+++ b/src/store/rollout_service.h
@@ -4,7 +4,7 @@
 #include <optional>
 #include <string>
 
-#include "store/proposal_waits.h"
+#include "store/pending_proposals.h"
 #include "store/rollout_clock.h"
 
 namespace cometstand::store {
@@ -60,7 +60,7 @@
 
   StoreContext& context_;
   const RolloutClock& clock_;
-  ProposalWaits proposals_{context_};
+  PendingProposals proposals_{context_};
 };
 
 }  // namespace cometstand::store
--- a/src/store/seed_formation.cpp
+++ b/src/store/seed_formation.cpp
@@ -62,7 +62,8 @@
   if (enabled()) bootstrapIfAgreed(now);
 }
 
-void SeedFormation::onRequest(const Asker& requester, const wire::FormationRequestT& request, TimePoint now) {
+void SeedFormation::onRequest(const Requester& requester, const wire::FormationRequestT& request,
+                              TimePoint now) {
   if (request.joining != nullptr) members_.onJoinRequest(*request.joining, now);
   wire::FormationReplyT reply;
   reply.replica = context_.options.self.id;
--- a/src/store/seed_formation.h
+++ b/src/store/seed_formation.h
@@ -35,7 +35,7 @@
   void onLinkOpened(runtime::LinkId link, TimePoint now);
   void onLinkClosed(runtime::LinkId link);
 
-  void onRequest(const Asker& requester, const wire::FormationRequestT& request, TimePoint now);
+  void onRequest(const Requester& requester, const wire::FormationRequestT& request, TimePoint now);
   void onReply(runtime::LinkId link, const wire::FormationReplyT& reply, TimePoint now);
 
   /// @return true while this replica must not begin an election.
--- a/src/store/state_machine.cpp
+++ b/src/store/state_machine.cpp
@@ -77,20 +77,20 @@
   if (const auto* release = command.body.AsContentRelease()) return quarantine_.apply(*release);
   if (const auto* order = command.body.AsEvacuationOrder()) return evacuations_.apply(*order);
   if (const auto* record = command.body.AsQuotaLeadership()) return quota_.apply(*record);
-  return notRun<wire::CommandReplyT>(
+  return notRunReply<wire::CommandReplyT>(
       Error(ErrorKind::Malformed, "the command is empty", "use a client of this release"));
 }
 
 wire::CommandReplyT StateMachine::applyChange(const wire::ChangeCommandT& command) {
   if (command.transaction == nullptr || command.text_digest == nullptr || !requestTime(command.request_id)) {
-    return notRun<wire::CommandReplyT>(
+    return notRunReply<wire::CommandReplyT>(
         Error(ErrorKind::Malformed, "the change lacks a part", "use a client of this release"));
   }
   const auto actor = actorOf(command);
   if (!actor) {
-    return notRun<wire::CommandReplyT>(Error(ErrorKind::Unauthenticated,
-                                             "the credential changed while the change was on its way",
-                                             "send the change again with the new token"));
+    return notRunReply<wire::CommandReplyT>(Error(ErrorKind::Unauthenticated,
+                                                  "the credential changed while the change was on its way",
+                                                  "send the change again with the new token"));
   }
   if (auto answer = requests_.findReply(command)) return *std::move(answer);
   wire::CommandReplyT reply = executeChange(command, *actor);
@@ -109,7 +109,7 @@
                   fmt::format("delete objects that are not needed; the limit is {} bytes", kMaxCatalogBytes));
     }
   } catch (const Error& error) {
-    auto reply = notRun<wire::CommandReplyT>(error);
+    auto reply = notRunReply<wire::CommandReplyT>(error);
     reply.version = catalog_.version();
     return reply;
   }
@@ -152,7 +152,7 @@
     }
     return action();
   } catch (const Error& error) {
-    return notRun<wire::ClaimReplyT>(error);
+    return notRunReply<wire::ClaimReplyT>(error);
   }
 }
 
--- a/src/store/status_collector.cpp
+++ b/src/store/status_collector.cpp
@@ -11,11 +11,11 @@
 
 using runtime::LinkId;
 
-void StatusCollector::begin(const Asker& asker, const std::vector<LinkId>& readers,
+void StatusCollector::begin(const Requester& requester, const std::vector<LinkId>& readers,
                             const wire::StatusRequestT& request, Render render, TimePoint now) {
   const std::uint64_t request_id = ++last_request_id_;
   auto& collection = collections_[request_id];
-  collection.asker = asker;
+  collection.requester = requester;
   collection.render = std::move(render);
   collection.outstanding = {readers.begin(), readers.end()};
   collection.deadline = now + context_.options.status_time_limit;
@@ -39,9 +39,9 @@
 
 void StatusCollector::finish(const Collection& collection) {
   try {
-    sendReply(context_, collection.asker, collection.render(collection.status));
+    sendReply(context_, collection.requester, collection.render(collection.status));
   } catch (const Error& error) {
-    sendReply(context_, collection.asker, notRun<wire::CommandReplyT>(error));
+    sendReply(context_, collection.requester, notRunReply<wire::CommandReplyT>(error));
   }
 }
 
@@ -58,9 +58,9 @@
 
 void StatusCollector::onLeadershipLost() {
   for (const auto& [id, collection] : collections_) {
-    sendReply(context_, collection.asker,
-              notRun<wire::CommandReplyT>(Error(ErrorKind::Unavailable, "this replica no longer leads",
-                                                "send the query again", context_.options.retry_after)));
+    sendReply(context_, collection.requester,
+              notRunReply<wire::CommandReplyT>(Error(ErrorKind::Unavailable, "this replica no longer leads",
+                                                     "send the query again", context_.options.retry_after)));
   }
   collections_.clear();
 }
--- a/src/store/status_collector.h
+++ b/src/store/status_collector.h
@@ -20,7 +20,7 @@
   explicit StatusCollector(StoreContext& context) : context_(context) {}
 
   /// @param request asks only for the data that the reply needs, because it is sent to every reader.
-  void begin(const Asker& asker, const std::vector<runtime::LinkId>& readers,
+  void begin(const Requester& requester, const std::vector<runtime::LinkId>& readers,
              const wire::StatusRequestT& request, Render render, TimePoint now);
   void onReply(runtime::LinkId reader, std::uint64_t request_id, const wire::StatusReplyT& reply);
   void onLinkClosed(runtime::LinkId link);
@@ -31,7 +31,7 @@
 
  private:
   struct Collection {
-    Asker asker;
+    Requester requester;
     Render render;
     wire::StatusReplyT status;
     std::set<runtime::LinkId> outstanding;
--- a/src/store/store_context.cpp
+++ b/src/store/store_context.cpp
@@ -10,7 +10,7 @@
   return replica == nullptr ? std::nullopt : std::optional(addressOf(*replica));
 }
 
-std::optional<runtime::Address> StoreContext::otherLeader() const {
+std::optional<runtime::Address> StoreContext::remoteLeader() const {
   return consensus.leadership().leader == options.self.id ? std::nullopt : leader();
 }
 
--- a/src/store/store_context.h
+++ b/src/store/store_context.h
@@ -27,11 +27,11 @@
   /// @return the address of the leader, which may be this replica; nullopt while no leader is known.
   std::optional<runtime::Address> leader() const;
   /// @return the address of the leader; nullopt if no leader is known or this replica is the leader.
-  std::optional<runtime::Address> otherLeader() const;
+  std::optional<runtime::Address> remoteLeader() const;
 };
 
 /// Destination of the reply to a request: the link it came by and its id on that link.
-struct Asker {
+struct Requester {
   runtime::LinkId link{};
   std::uint64_t request_id = 0;
 };
--- a/src/store/store_core.cpp
+++ b/src/store/store_core.cpp
@@ -1,11 +1,11 @@
 #include "store/store_core.h"
 
-#include "store/store_parts.h"
+#include "store/store_replica.h"
 
 namespace cometstand::store {
 
 StoreCore::StoreCore(const StoreOptions& options, std::uint64_t seed)
-    : parts_(std::make_unique<StoreParts>(options, seed)) {}
+    : parts_(std::make_unique<StoreReplica>(options, seed)) {}
 
 StoreCore::~StoreCore() = default;
 
--- a/src/store/store_core.h
+++ b/src/store/store_core.h
@@ -14,7 +14,7 @@
 
 namespace cometstand::store {
 
-class StoreParts;
+class StoreReplica;
 
 /// One replica of the configuration store. It owns the consensus module, the state machine that applies the
 /// committed log entries, the links to the other replicas, and the services for operators, relays and nodes.
@@ -71,7 +71,7 @@
   void checkInvariants() const;
 
  private:
-  std::unique_ptr<StoreParts> parts_;
+  std::unique_ptr<StoreReplica> parts_;
 };
 
 }  // namespace cometstand::store
--- a/src/store/store_messages.cpp
+++ b/src/store/store_messages.cpp
@@ -2,7 +2,7 @@
 #include "base/event_log.h"
 #include "store/events.h"
 #include "store/replies.h"
-#include "store/store_parts.h"
+#include "store/store_replica.h"
 
 /// Dispatches incoming messages to the components of a replica by the link on which they arrived, and checks
 /// that the role of the peer permits the message.
@@ -23,18 +23,18 @@
 
 }  // namespace
 
-void StoreParts::onMessage(LinkId link, const wire::EnvelopeT& message, TimePoint now) {
-  if (seeds_.owns(link)) {
-    onSeedMessage(link, message, now);
+void StoreReplica::onMessage(LinkId link, const wire::EnvelopeT& message, TimePoint now) {
+  if (seed_formation_.owns(link)) {
+    onSeedFormationMessage(link, message, now);
   } else if (replicas_.owns(link)) {
-    onOwnLinkMessage(link, message, now);
+    onOutgoingLinkMessage(link, message, now);
   } else if (incoming_.contains(link)) {
     onIncomingMessage(link, message, now);
   }
   drain(now);
 }
 
-void StoreParts::onOwnLinkMessage(LinkId link, const wire::EnvelopeT& message, TimePoint now) {
+void StoreReplica::onOutgoingLinkMessage(LinkId link, const wire::EnvelopeT& message, TimePoint now) {
   if (const auto* consensus_message = message.body.AsConsensusMessage()) {
     consensus_.onMessage(*consensus_message, now);
   } else if (const auto* reply = message.body.AsCommandReply()) {
@@ -44,11 +44,11 @@
   }
 }
 
-void StoreParts::onSeedMessage(LinkId link, const wire::EnvelopeT& message, TimePoint now) {
-  if (const auto* formation = message.body.AsFormationReply()) seeds_.onReply(link, *formation, now);
+void StoreReplica::onSeedFormationMessage(LinkId link, const wire::EnvelopeT& message, TimePoint now) {
+  if (const auto* formation = message.body.AsFormationReply()) seed_formation_.onReply(link, *formation, now);
 }
 
-bool StoreParts::requireRole(LinkId link, const char* role, const char* other_role) {
+bool StoreReplica::requireRole(LinkId link, const char* role, const char* other_role) {
   const auto& peer = incoming_.at(link);
   if (peer.role.empty() || peer.role == role || peer.role == other_role) return true;
   logEvent(kUnexpectedPeer, {{"role", peer.role}, {"name", peer.name}, {"wanted", role}});
@@ -56,56 +56,56 @@
   return false;
 }
 
-void StoreParts::onIncomingMessage(LinkId link, const wire::EnvelopeT& message, TimePoint now) {
+void StoreReplica::onIncomingMessage(LinkId link, const wire::EnvelopeT& message, TimePoint now) {
   const auto& body = message.body;
   if (const auto* consensus_message = body.AsConsensusMessage()) {
     if (requireRole(link, "store")) onConsensusMessage(link, *consensus_message, now);
   } else if (const auto* formation = body.AsFormationRequest()) {
     if (!requireRole(link, "store")) return;
-    if (seeds_.enabled()) {
-      seeds_.onRequest({link, message.request_id}, *formation, now);
+    if (seed_formation_.enabled()) {
+      seed_formation_.onRequest({link, message.request_id}, *formation, now);
     } else {
       formation_.onRequest({link, message.request_id});
     }
   } else if (const auto* request = body.AsCommandRequest()) {
     if (requireRole(link, "operator", "store")) onCommand(link, message.request_id, *request, now);
   } else if (const auto* report = body.AsRolloutReport()) {
-    if (seeds_.enabled()) rollout_controller_.onReport(link, *report, now);
+    if (seed_formation_.enabled()) rollout_controller_.onReport(link, *report, now);
   } else if (const auto* crash = body.AsCrashReport()) {
-    if (seeds_.enabled() && nodes_.nameOf(link)) quarantine_.onReport(link, *crash, now);
+    if (seed_formation_.enabled() && nodes_.nameOf(link)) quarantine_.onReport(link, *crash, now);
   } else if (const auto* clearance = body.AsContentClearance()) {
-    if (seeds_.enabled() && nodes_.nameOf(link)) quarantine_.onClearance(*clearance, now);
+    if (seed_formation_.enabled() && nodes_.nameOf(link)) quarantine_.onClearance(*clearance, now);
   } else if (const auto* quota = body.AsQuotaRequest()) {
-    if (seeds_.enabled() && nodes_.nameOf(link)) quotas_.onRequest(link, *quota, now);
-  } else if (seeds_.enabled() && nodes_.onMessage(link, message, now)) {
+    if (seed_formation_.enabled() && nodes_.nameOf(link)) quotas_.onRequest(link, *quota, now);
+  } else if (seed_formation_.enabled() && nodes_.onMessage(link, message, now)) {
     return;
   } else if (requireRole(link, "relay")) {
     onRelayMessage(link, message, now);
   }
 }
 
-void StoreParts::onConsensusMessage(LinkId link, const wire::ConsensusMessageT& message, TimePoint now) {
+void StoreReplica::onConsensusMessage(LinkId link, const wire::ConsensusMessageT& message, TimePoint now) {
   replicas_.onHeard(message.from, link);
   consensus_.onMessage(message, now);
 }
 
-void StoreParts::onCommand(LinkId link, std::uint64_t request_id, const wire::CommandRequestT& request,
-                           TimePoint now) {
+void StoreReplica::onCommand(LinkId link, std::uint64_t request_id, const wire::CommandRequestT& request,
+                             TimePoint now) {
   const auto& peer = incoming_.at(link);
   const bool is_other_tenant =
       peer.role == "operator" && !peer.tenant.empty() && peer.tenant != request.tenant;
   const bool is_forged_forward = request.forwarded && peer.role == "operator";
   if (is_other_tenant || is_forged_forward) {
     sendReply(context_, {link, request_id},
-              notRun<wire::CommandReplyT>(Error(ErrorKind::Forbidden,
-                                                "the certificate does not allow the command's tenant",
-                                                "use the certificate of that tenant's operator")));
+              notRunReply<wire::CommandReplyT>(Error(ErrorKind::Forbidden,
+                                                     "the certificate does not allow the command's tenant",
+                                                     "use the certificate of that tenant's operator")));
     return;
   }
   commands_.onCommand({link, request_id}, request, now);
 }
 
-void StoreParts::onRelayMessage(LinkId link, const wire::EnvelopeT& message, TimePoint now) {
+void StoreReplica::onRelayMessage(LinkId link, const wire::EnvelopeT& message, TimePoint now) {
   const auto& body = message.body;
   readers_.onHeard(link);
   if (const auto* request = body.AsFollowRequest()) {
@@ -125,12 +125,12 @@
 }
 
 template <typename Claim>
-void StoreParts::onClaim(LinkId link, std::uint64_t request_id, const Claim& claim, TimePoint now) {
+void StoreReplica::onClaim(LinkId link, std::uint64_t request_id, const Claim& claim, TimePoint now) {
   if (stopping_ || !context_.isLeader() || !readers_.isReader(link)) {
     const auto kind = stopping_ ? ErrorKind::Stopping : ErrorKind::Unavailable;
     const Error error(kind, "this replica does not lead, or is about to stop",
                       "send the request again with the same key", options_.retry_after);
-    actions_.send(link, notRun<wire::ClaimReplyT>(error), request_id);
+    actions_.send(link, notRunReply<wire::ClaimReplyT>(error), request_id);
     return;
   }
   wire::StoreCommandT command;
--- a/src/store/store_parts.cpp
+++ b/src/store/store_replica.cpp
@@ -1,4 +1,4 @@
-#include "store/store_parts.h"
+#include "store/store_replica.h"
 
 #include <algorithm>
 #include <stdexcept>
@@ -28,22 +28,22 @@
 
 }  // namespace
 
-StoreParts::StoreParts(const StoreOptions& options, std::uint64_t seed)
+StoreReplica::StoreReplica(const StoreOptions& options, std::uint64_t seed)
     : options_(checked(options)),
       random_(seed),
       consensus_(options.consensus, options.self, RandomSource(random_.uniform(0, UINT64_MAX))) {}
 
-void StoreParts::start(const runtime::FileReader& files, TimePoint now) {
+void StoreReplica::start(const runtime::FileReader& files, TimePoint now) {
   consensus_.recover(files, now);
   drain(now);
   formation_.begin(now);
-  seeds_.begin(now);
+  seed_formation_.begin(now);
   drain(now);
 }
 
-void StoreParts::onLinkOpened(LinkId link, const runtime::PeerIdentity& peer, TimePoint now) {
-  if (seeds_.owns(link)) {
-    seeds_.onLinkOpened(link, now);
+void StoreReplica::onLinkOpened(LinkId link, const runtime::PeerIdentity& peer, TimePoint now) {
+  if (seed_formation_.owns(link)) {
+    seed_formation_.onLinkOpened(link, now);
   } else if (replicas_.owns(link)) {
     if (!peer.role.empty() && peer.role != "store") {
       logEvent(kUnexpectedPeer, {{"role", peer.role}, {"name", peer.name}});
@@ -57,8 +57,8 @@
   drain(now);
 }
 
-void StoreParts::onLinkClosed(LinkId link, TimePoint now) {
-  seeds_.onLinkClosed(link);
+void StoreReplica::onLinkClosed(LinkId link, TimePoint now) {
+  seed_formation_.onLinkClosed(link);
   nodes_.onLinkClosed(link, now);
   replicas_.onLinkClosed(link, now);
   forwarder_.onLinkClosed(link);
@@ -68,20 +68,20 @@
   drain(now);
 }
 
-void StoreParts::onFileWritten(runtime::WriteId write, TimePoint now) {
+void StoreReplica::onFileWritten(runtime::WriteId write, TimePoint now) {
   consensus_.onFileWritten(write, now);
   drain(now);
 }
 
-void StoreParts::onFileFailed(runtime::WriteId write, const std::string& reason, TimePoint now) {
+void StoreReplica::onFileFailed(runtime::WriteId write, const std::string& reason, TimePoint now) {
   consensus_.onFileFailed(write, reason, now);
   drain(now);
 }
 
-void StoreParts::onTimer(TimePoint now) {
+void StoreReplica::onTimer(TimePoint now) {
   if (!defersElections()) consensus_.onTimer(now);
   formation_.onTimer(now);
-  seeds_.onTimer(now);
+  seed_formation_.onTimer(now);
   members_.onTimer(now);
   mesh_.onTimer(now);
   rollouts_.onTimer(now);
@@ -102,11 +102,11 @@
   drain(now);
 }
 
-TimePoint StoreParts::nextTimer() const {
+TimePoint StoreReplica::nextTimer() const {
   const TimePoint consensus_timer = defersElections() ? TimePoint::max() : consensus_.nextTimer();
   return std::min({consensus_timer,
                    formation_.nextTimer(),
-                   seeds_.nextTimer(),
+                   seed_formation_.nextTimer(),
                    members_.nextTimer(),
                    mesh_.nextTimer(),
                    rollouts_.nextTimer(),
@@ -126,7 +126,7 @@
                    stop_wait_ended_ ? TimePoint::max() : stop_deadline_});
 }
 
-void StoreParts::drain(TimePoint now) {
+void StoreReplica::drain(TimePoint now) {
   do {
     if (context_.isLeader()) writer_.flush(now);
     admin_.step(now);
@@ -136,7 +136,7 @@
   replicas_.refresh(now);
 }
 
-bool StoreParts::drainOnce(TimePoint now) {
+bool StoreReplica::drainOnce(TimePoint now) {
   consensus::Output output = consensus_.takeOutput();
   const bool has_output = !output.messages.empty() || output.leadership || output.installed_snapshot ||
                           !output.committed.empty() || !output.reads.empty() || output.quorum_round;
@@ -162,7 +162,7 @@
   return has_output;
 }
 
-void StoreParts::onLeadership(const consensus::Leadership& leadership, TimePoint now) {
+void StoreReplica::onLeadership(const consensus::Leadership& leadership, TimePoint now) {
   const bool was_leader = leadership_.role == consensus::Role::Leader;
   const bool same_term = leadership.term == leadership_.term;
   const bool still_leads = leadership.role == consensus::Role::Leader && same_term;
@@ -185,7 +185,7 @@
   readers_.onLeadershipLost(now);
 }
 
-void StoreParts::applyCommitted(const std::vector<consensus::LogEntryPointer>& entries, TimePoint now) {
+void StoreReplica::applyCommitted(const std::vector<consensus::LogEntryPointer>& entries, TimePoint now) {
   if (entries.empty()) return;
   for (const auto& entry : entries) {
     applied_index_ = entry->index;
@@ -207,12 +207,12 @@
   beginSnapshotIfDue(now);
 }
 
-void StoreParts::beginSnapshotIfDue(TimePoint now) {
+void StoreReplica::beginSnapshotIfDue(TimePoint now) {
   if (snapshot_ || now < next_snapshot_at_ || !consensus_.snapshotDue()) return;
   snapshot_.emplace(SnapshotInProgress{applied_index_, SnapshotWriter(state_.capture()), now});
 }
 
-void StoreParts::continueSnapshot(TimePoint now) {
+void StoreReplica::continueSnapshot(TimePoint now) {
   if (!snapshot_ || now < snapshot_->next_step_at) return;
   snapshot_->next_step_at = now + kSnapshotStepPause;
   if (!snapshot_->writer.step(kSnapshotRecordsPerStep)) return;
@@ -225,13 +225,13 @@
   snapshot_.reset();
 }
 
-runtime::Actions StoreParts::takeActions() {
+runtime::Actions StoreReplica::takeActions() {
   runtime::Actions actions = actions_.take();
   actions.writes = std::exchange(writes_, {});
   return actions;
 }
 
-void StoreParts::beginStop(TimePoint now) {
+void StoreReplica::beginStop(TimePoint now) {
   if (stopping_) return;
   stopping_ = true;
   stop_deadline_ = now + options_.stop_time_limit;
@@ -243,7 +243,7 @@
 
 /// Transfers leadership only after all commands in the log have been answered, so that the transfer turns no
 /// response into Unknown.
-void StoreParts::continueStop(TimePoint now) {
+void StoreReplica::continueStop(TimePoint now) {
   if (!stopping_) return;
   if (now >= stop_deadline_) stop_wait_ended_ = true;
   if (now < next_transfer_at_ || !context_.isLeader() || !writer_.idle() || !servicesIdle() || !admin_.idle())
@@ -253,48 +253,48 @@
   if (!consensus_.transferLeadershipToAny(now)) stop_wait_ended_ = true;
 }
 
-TimePoint StoreParts::stopTimer() const {
+TimePoint StoreReplica::stopTimer() const {
   if (!stopping_ || stop_wait_ended_) return TimePoint::max();
   // Pending commands complete through other events, and each event attempts the transfer again.
   const bool may_transfer = context_.isLeader() && writer_.idle() && servicesIdle() && admin_.idle();
   return may_transfer ? std::min(next_transfer_at_, stop_deadline_) : stop_deadline_;
 }
 
-bool StoreParts::stopped() const {
+bool StoreReplica::stopped() const {
   if (!stopping_) return false;
   return stop_wait_ended_ ||
-         (!context_.isLeader() && !readers_.owesGoodbye() && writer_.idle() && forwarder_.idle());
+         (!context_.isLeader() && !readers_.hasPendingRedirects() && writer_.idle() && forwarder_.idle());
 }
 
-void StoreParts::changeMesh(const wire::MeshChangeT& change, const MeshAnswerHandler& handler,
-                            TimePoint now) {
+void StoreReplica::changeMesh(const wire::MeshChangeT& change, const MeshAnswerHandler& handler,
+                              TimePoint now) {
   mesh_.change(change, handler, now);
   drain(now);
 }
 
-void StoreParts::readMesh(MeshAnswerHandler handler, TimePoint now) {
+void StoreReplica::readMesh(MeshAnswerHandler handler, TimePoint now) {
   mesh_.read(std::move(handler), now);
   drain(now);
 }
 
-void StoreParts::orderRollout(const wire::RolloutOrderT& order, const RolloutAnswerHandler& handler,
-                              TimePoint now) {
+void StoreReplica::orderRollout(const wire::RolloutOrderT& order, const RolloutAnswerHandler& handler,
+                                TimePoint now) {
   rollouts_.order(order, handler, now);
   drain(now);
 }
 
-void StoreParts::readRollout(const std::string& service, RolloutAnswerHandler handler, TimePoint now) {
+void StoreReplica::readRollout(const std::string& service, RolloutAnswerHandler handler, TimePoint now) {
   rollouts_.read(service, std::move(handler), now);
   drain(now);
 }
 
-void StoreParts::orderEvacuation(const wire::EvacuationOrderT& order, const EvacuationAnswerHandler& handler,
-                                 TimePoint now) {
+void StoreReplica::orderEvacuation(const wire::EvacuationOrderT& order,
+                                   const EvacuationAnswerHandler& handler, TimePoint now) {
   evacuations_.order(order, handler, now);
   drain(now);
 }
 
-StoreMetrics StoreParts::metrics() const {
+StoreMetrics StoreReplica::metrics() const {
   StoreMetrics metrics = metrics_;
   const auto leadership = consensus_.leadership();
   metrics.is_leader = leadership.role == consensus::Role::Leader;
@@ -311,7 +311,7 @@
   return metrics;
 }
 
-void StoreParts::checkInvariants() const {
+void StoreReplica::checkInvariants() const {
   consensus_.checkInvariants();
   if (applied_index_ > consensus_.commitIndex())
     throw std::logic_error("an uncommitted log entry was applied");
--- a/src/store/store_parts.h
+++ b/src/store/store_replica.h
@@ -10,7 +10,7 @@
 #include "store/membership_manager.h"
 #include "store/mesh_service.h"
 #include "store/node_hub.h"
-#include "store/quarantine_keeper.h"
+#include "store/quarantine_controller.h"
 #include "store/quota_service.h"
 #include "store/rollout_controller.h"
 #include "store/rollout_service.h"
@@ -22,9 +22,9 @@
 
 /// The components of one replica. Dispatches each event to them in a fixed order. After each event, drain()
 /// passes the output of the consensus module to the components until there is no more output.
-class StoreParts {
+class StoreReplica {
  public:
-  StoreParts(const StoreOptions& options, std::uint64_t seed);
+  StoreReplica(const StoreOptions& options, std::uint64_t seed);
 
   void start(const runtime::FileReader& files, TimePoint now);
   void onLinkOpened(runtime::LinkId link, const runtime::PeerIdentity& peer, TimePoint now);
@@ -45,7 +45,7 @@
   void checkInvariants() const;
 
   void changeMesh(const wire::MeshChangeT& change, const MeshAnswerHandler& handler, TimePoint now);
-  void setSeeds(std::vector<runtime::Address> seeds) { seeds_.setSeeds(std::move(seeds)); }
+  void setSeeds(std::vector<runtime::Address> seeds) { seed_formation_.setSeeds(std::move(seeds)); }
   void readMesh(MeshAnswerHandler handler, TimePoint now);
   void orderRollout(const wire::RolloutOrderT& order, const RolloutAnswerHandler& handler, TimePoint now);
   void readRollout(const std::string& service, RolloutAnswerHandler handler, TimePoint now);
@@ -53,8 +53,8 @@
                        TimePoint now);
 
  private:
-  bool defersElections() const { return formation_.defersElections() || seeds_.defersElections(); }
-  void onSeedMessage(runtime::LinkId link, const wire::EnvelopeT& message, TimePoint now);
+  bool defersElections() const { return formation_.defersElections() || seed_formation_.defersElections(); }
+  void onSeedFormationMessage(runtime::LinkId link, const wire::EnvelopeT& message, TimePoint now);
   void drain(TimePoint now);
   /// @return true if there was any output.
   bool drainOnce(TimePoint now);
@@ -69,7 +69,7 @@
   /// Closes the link if its certificate allows neither role.
   /// @return true if the certificate allows one of the roles.
   bool requireRole(runtime::LinkId link, const char* role, const char* other_role = "");
-  void onOwnLinkMessage(runtime::LinkId link, const wire::EnvelopeT& message, TimePoint now);
+  void onOutgoingLinkMessage(runtime::LinkId link, const wire::EnvelopeT& message, TimePoint now);
   void onIncomingMessage(runtime::LinkId link, const wire::EnvelopeT& message, TimePoint now);
   void onRelayMessage(runtime::LinkId link, const wire::EnvelopeT& message, TimePoint now);
   void onConsensusMessage(runtime::LinkId link, const wire::ConsensusMessageT& message, TimePoint now);
@@ -90,13 +90,13 @@
   ReplicaLinks replicas_{context_};
   ClusterFormation formation_{context_, replicas_};
   MembershipManager members_{context_};
-  SeedFormation seeds_{context_, members_};
+  SeedFormation seed_formation_{context_, members_};
   MeshService mesh_{context_};
   NodeHub nodes_{context_};
   RolloutClock rollout_clock_;
   RolloutService rollouts_{context_, rollout_clock_};
   RolloutController rollout_controller_{context_, rollout_clock_, nodes_};
-  QuarantineKeeper quarantine_{context_};
+  QuarantineController quarantine_{context_};
   EvacuationService evacuations_{context_};
   QuotaService quotas_{context_};
   ReaderHub readers_{context_, replicas_};
--- a/tests/consensus/cluster_checker.h
+++ b/tests/consensus/cluster_checker.h
@@ -26,7 +26,7 @@
   void onSnapshot(LogIndex index, std::uint64_t state) const;
   /// Linearizability: the read index of a confirmed read covers every entry that any replica had applied when
   /// the read was requested.
-  void onReadRequested(ReadTicket ticket) { min_read_indexes_[ticket] = lastApplied(); }
+  void onReadRequested(ReadRequestId ticket) { min_read_indexes_[ticket] = lastApplied(); }
   void onRead(const ReadResult& result);
   /// No leader of a newer term committed an entry before the round began, and the commit index of the round
   /// covers every entry that was applied before the round began.
@@ -53,7 +53,7 @@
   std::map<std::pair<LogIndex, Term>, EntryContent> entries_;
   /// Position i holds the entry with index i + 1.
   std::vector<AppliedEntry> applied_;
-  std::map<ReadTicket, LogIndex> min_read_indexes_;
+  std::map<ReadRequestId, LogIndex> min_read_indexes_;
   std::size_t confirmed_reads_ = 0;
 };
 
--- a/tests/consensus/election_test.cpp
+++ b/tests/consensus/election_test.cpp
@@ -169,7 +169,7 @@
   const Term term = cluster.at(leader).leadership.term;
   SECTION("partitioned in both directions") {
     cluster.isolate(leader);
-    const ReadTicket ticket = cluster.requestRead(leader);
+    const ReadRequestId ticket = cluster.requestRead(leader);
     cluster.runFor(seconds(1));
     CHECK(cluster.at(leader).leadership.role != Role::Leader);
     CHECK(cluster.at(leader).leadership.term == term);
@@ -186,7 +186,7 @@
     cluster.runFor(seconds(1));
     cluster.at(leader).suspended_until = {};
     CHECK(cluster.consensus(leader).leadership().role == Role::Leader);
-    const ReadTicket ticket = cluster.requestRead(leader);
+    const ReadRequestId ticket = cluster.requestRead(leader);
     CHECK_FALSE(cluster.at(leader).reads.at(ticket).confirmed);
     CHECK_FALSE(cluster.propose(leader));
   }
@@ -196,7 +196,7 @@
     cluster.suspend(leader, seconds(5));
     REQUIRE(cluster.waitForLeader(leader) != 0);
     cluster.at(leader).suspended_until = {};
-    const ReadTicket ticket = cluster.requestRead(leader);
+    const ReadRequestId ticket = cluster.requestRead(leader);
     cluster.runFor(seconds(1));
     CHECK_FALSE(cluster.at(leader).reads.at(ticket).confirmed);
   }
@@ -236,7 +236,7 @@
   SingleReplicaHarness replica;
   replica.becomeLeader();
   SECTION("not before an entry of the leader's term is committed") {
-    replica->requestRead(ReadTicket{7}, replica.now);
+    replica->requestRead(ReadRequestId{7}, replica.now);
     replica.receiveAck(2, 1, 1);
     replica.receiveAck(2, 1, 2);
     CHECK(replica.reads.empty());
@@ -249,7 +249,7 @@
     replica->onTimer(replica.now += SimulatedCluster::testOptions().heartbeat_interval);
     replica.runUntilIdle();
     // Round 2 is sent but not acknowledged.
-    replica->requestRead(ReadTicket{7}, replica.now);
+    replica->requestRead(ReadRequestId{7}, replica.now);
     replica.runUntilIdle();
     replica.receiveAck(2, 2, 2);
     CHECK(replica.reads.empty());
@@ -257,7 +257,7 @@
     CHECK(replica.reads.at(0).confirmed);
   }
   SECTION("a leader that steps down does not confirm pending reads") {
-    replica->requestRead(ReadTicket{7}, replica.now);
+    replica->requestRead(ReadRequestId{7}, replica.now);
     wire::AppendRequestT newer_heartbeat;
     newer_heartbeat.term = 9;
     newer_heartbeat.leader = 3;
--- a/tests/consensus/membership_test.cpp
+++ b/tests/consensus/membership_test.cpp
@@ -211,7 +211,7 @@
   SimulatedCluster cluster(3, 8);
   const ReplicaId leader = cluster.waitForLeader();
   REQUIRE(cluster.commitOnAll(cluster.ids()));
-  const ReadTicket ticket = cluster.requestRead(leader);
+  const ReadRequestId ticket = cluster.requestRead(leader);
   cluster.failDisk(leader);
   CHECK(cluster.at(leader).leadership.role == Role::Failed);
   CHECK_FALSE(cluster.at(leader).reads.at(ticket).confirmed);
--- a/tests/consensus/simulated_cluster.cpp
+++ b/tests/consensus/simulated_cluster.cpp
@@ -240,8 +240,8 @@
   return index;
 }
 
-ReadTicket SimulatedCluster::requestRead(ReplicaId id) {
-  const ReadTicket ticket{next_ticket_++};
+ReadRequestId SimulatedCluster::requestRead(ReplicaId id) {
+  const ReadRequestId ticket{next_ticket_++};
   checker_.onReadRequested(ticket);
   consensus(id).requestRead(ticket, now_);
   processOutput(id);
--- a/tests/consensus/simulated_cluster.h
+++ b/tests/consensus/simulated_cluster.h
@@ -37,7 +37,7 @@
   LogIndex applied_index = 0;
   std::uint64_t state = 0;
   Leadership leadership;
-  std::map<ReadTicket, ReadResult> reads;
+  std::map<ReadRequestId, ReadResult> reads;
 };
 
 /// Replicas with a simulated network, simulated disks and simulated time. Runs with equal seeds are
@@ -89,7 +89,7 @@
   /// Proposes a command at the replica.
   /// @return the log index, or nothing if the replica is not the leader.
   std::optional<LogIndex> propose(ReplicaId id, std::size_t bytes = 24);
-  ReadTicket requestRead(ReplicaId id);
+  ReadRequestId requestRead(ReplicaId id);
   void transfer(ReplicaId from, ReplicaId to);
   LogIndex change(ReplicaId leader, MembershipChangeKind kind, ReplicaId id, ReplicaId replaced = 0);
   void compact(ReplicaId id);
--- a/tests/store/rollout_register_test.cpp
+++ b/tests/store/rollout_register_test.cpp
@@ -31,9 +31,9 @@
 TEST_CASE("a service has one roll-out in progress at a time, and a duplicate of its order changes nothing") {
   RolloutRegister rollouts;
   CHECK(rollouts.apply(makeOrder()) == RolloutResult::Accepted);
-  const auto changes = rollouts.changes();
+  const auto changes = rollouts.changeCount();
   CHECK(rollouts.apply(makeOrder()) == RolloutResult::Accepted);
-  CHECK(rollouts.changes() == changes);
+  CHECK(rollouts.changeCount() == changes);
   CHECK(rollouts.apply(makeOrder("v3")) == RolloutResult::Conflict);
   CHECK(rollouts.apply(makeOrder("v2", 9'000)) == RolloutResult::Conflict);
   CHECK(rollouts.find("desk")->version == "v2");
