--- a/tests/evacuation/evacuation_test.cpp
+++ b/tests/evacuation/evacuation_test.cpp
@@ -102,19 +102,19 @@
 TEST_CASE("a sidecar that was cut off applies the order and its end once it is reconnected") {
   ZoneMesh mesh(30);
   const auto cut_off = mesh.sidecarsIn(kFirstZone).front();
-  mesh.network.cut(cut_off);
+  mesh.network.partition(cut_off);
   REQUIRE(mesh.orderUntilDone(kFirstZone, true, seconds(1)));
   mesh.runFor(seconds(7));
   // While cut off, the sidecar serves its callers with its own target.
   CHECK(mesh.sidecarAt(cut_off).evacuations().zones().empty());
-  mesh.network.mend(cut_off);
+  mesh.network.heal(cut_off);
   mesh.runFor(seconds(3));
   CHECK(mesh.runsStartedIn(kFirstZone, mesh.network.now() - milliseconds(500)) == 0);
-  mesh.network.cut(cut_off);
+  mesh.network.partition(cut_off);
   REQUIRE(mesh.orderUntilDone(kFirstZone, false, seconds(1)));
   mesh.runFor(seconds(7));
   CHECK(mesh.sidecarAt(cut_off).evacuations().isEvacuated(kFirstZone));
-  mesh.network.mend(cut_off);
+  mesh.network.heal(cut_off);
   mesh.runFor(seconds(3));
   CHECK_FALSE(mesh.sidecarAt(cut_off).evacuations().isEvacuated(kFirstZone));
 }
--- a/tests/quarantine/quarantine_test.cpp
+++ b/tests/quarantine/quarantine_test.cpp
@@ -82,14 +82,14 @@
     "afterwards") {
   CrashMesh mesh(3);
   const auto cut_off = mesh.sidecars.back();
-  mesh.network.cut(cut_off);
+  mesh.network.partition(cut_off);
   mesh.runFor(seconds(2));
   mesh.poison(kPoison);
   mesh.sendRepeatedly(kPoison, milliseconds(200));
   mesh.runFor(seconds(10));
   const auto ended = mesh.at(kPoison).ended.size();
   REQUIRE(ended >= 3);
-  mesh.network.mend(cut_off);
+  mesh.network.heal(cut_off);
   mesh.runFor(seconds(5));
   const auto begun = mesh.at(kPoison).begun.size();
   mesh.runFor(seconds(15));
@@ -167,11 +167,11 @@
     const auto& from = random.uniform(0, 2) == 0 ? mesh.stores() : mesh.sidecars;
     const auto id = from.at(random.uniform(0, from.size() - 1));
     const auto fault = random.uniform(0, 2);
-    if (fault == 0) mesh.network.cut(id);
+    if (fault == 0) mesh.network.partition(id);
     if (fault == 1) mesh.network.crash(id);
     if (fault == 2) mesh.network.suspend(id, random.uniform(milliseconds(500), milliseconds(6'000)));
     mesh.runFor(random.uniform(milliseconds(100), milliseconds(3'000)));
-    mesh.network.mend(id);
+    mesh.network.heal(id);
     if (!mesh.network.isRunning(id)) mesh.network.start(id);
     if (random.uniform(0, 3) == 0) mesh.crashTargets(random.uniform(1, 4));
   }
--- a/tests/quota/quota_mesh.cpp
+++ b/tests/quota/quota_mesh.cpp
@@ -82,10 +82,10 @@
   });
   sidecars_.push_back(machine.id);
   network.start(machine.id);
-  keepBeating(machine);
+  sendHeartbeats(machine);
 }
 
-void QuotaMesh::keepBeating(Machine& machine) {
+void QuotaMesh::sendHeartbeats(Machine& machine) {
   network.call(machine.id, [&] {
     sidecar::Heartbeat heartbeat;
     heartbeat.incarnation.id = "target-" + std::to_string(machine.number);
@@ -94,11 +94,11 @@
     heartbeat.sequence = ++machine.sequence;
     coreOf(machine).onHeartbeat(heartbeat, network.now());
   });
-  network.at(network.now() + kHeartbeat, [this, &machine] { keepBeating(machine); });
+  network.at(network.now() + kHeartbeat, [this, &machine] { sendHeartbeats(machine); });
 }
 
 void QuotaMesh::startCalls() {
-  for (const auto& load : tenants_) keepCalling(load);
+  for (const auto& load : tenants_) sendCalls(load);
   moveHotSpot();
 }
 
@@ -114,7 +114,7 @@
   return machines_.at(is_to_hot_spot ? hot_spot_ : random_.uniform(0, kSidecars - 1));
 }
 
-void QuotaMesh::keepCalling(const TenantLoad& load) {
+void QuotaMesh::sendCalls(const TenantLoad& load) {
   const Duration mean(static_cast<Duration::rep>(kMicrosecondsPerSecond / load.offered_per_second));
   network.at(network.now() + random_.uniform(Duration::zero(), 2 * mean), [this, &load] {
     auto& machine = pickMachine();
@@ -128,7 +128,7 @@
       tenant_of_call_[next_call_] = load.name;
       coreOf(machine).onCall(sidecar::CallId{next_call_++}, std::move(call), network.now());
     });
-    keepCalling(load);
+    sendCalls(load);
   });
 }
 
--- a/tests/quota/quota_mesh.h
+++ b/tests/quota/quota_mesh.h
@@ -93,8 +93,8 @@
 
   wire::MeshConfigurationT makeConfiguration() const;
   void addSidecar();
-  void keepBeating(Machine& machine);
-  void keepCalling(const TenantLoad& load);
+  void sendHeartbeats(Machine& machine);
+  void sendCalls(const TenantLoad& load);
   void moveHotSpot();
   Machine& pickMachine();
   double boundAt(const std::string& tenant, TimePoint begin, TimePoint end) const;
--- a/tests/quota/quota_test.cpp
+++ b/tests/quota/quota_test.cpp
@@ -66,12 +66,12 @@
   }
   void cut(std::optional<ProcessId> id) {
     if (!id) return;
-    mesh_.network.cut(*id);
+    mesh_.network.partition(*id);
     mesh_.network.at(mesh_.network.now() + randomDuration(), [this, id] { reconnect(*id); });
   }
   /// Reconnects the process. Messages sent in the meantime are lost, and its links are reset.
   void reconnect(ProcessId id) {
-    mesh_.network.mend(id);
+    mesh_.network.heal(id);
     for (const auto store : mesh_.stores()) mesh_.network.resetLinks(id, store);
     for (const auto sidecar : mesh_.sidecars()) mesh_.network.resetLinks(id, sidecar);
   }
@@ -176,7 +176,7 @@
   mesh.startCalls();
   mesh.runFor(seconds(5));
   const auto refused = mesh.account("below").over_quota;
-  mesh.network.cut(*mesh.leader());
+  mesh.network.partition(*mesh.leader());
   mesh.runFor(seconds(4));
   // Of 240 requests, fewer are refused than are sent in one second.
   CHECK(mesh.account("below").over_quota - refused < 50);
@@ -210,7 +210,7 @@
   mesh.sendOnlyTo({0});
   mesh.startCalls();
   mesh.runFor(seconds(5));
-  mesh.network.cut(mesh.sidecars().front());
+  mesh.network.partition(mesh.sidecars().front());
   mesh.runFor(seconds(3));
   const auto ran = mesh.account("below").ran.size();
   mesh.runFor(seconds(3));
--- a/tests/regions/region_mesh.cpp
+++ b/tests/regions/region_mesh.cpp
@@ -32,7 +32,7 @@
 
 RegionMesh::RegionMesh(MeshSetup setup)
     : setup_(std::move(setup)), random_(setup_.seed), stores_(network, random_, kStores) {
-  network.setWay([this](ProcessId from, ProcessId to, const wire::EnvelopeT& message) {
+  network.setMessageDelay([this](ProcessId from, ProcessId to, const wire::EnvelopeT& message) {
     return latencyOf(from, to, message);
   });
   restrictTo(setup_.restricted_regions);
--- a/tests/rollout/process_network.cpp
+++ b/tests/rollout/process_network.cpp
@@ -103,7 +103,7 @@
       return other.core != nullptr && other.address == order.address;
     });
     const auto to = static_cast<ProcessId>(target - processes_.begin());
-    if (target == processes_.end() || isCut(id, to) || !message_delay_(id, to, {})) {
+    if (target == processes_.end() || isPartitioned(id, to) || !message_delay_(id, to, {})) {
       deliver(id, incarnation,
               [this, link = order.link](ProcessCore& core) { core.onLinkClosed(link, now_); });
       return;
@@ -127,7 +127,7 @@
   if (!extra_delay) return;
   at(now_ + kBaseDelay + *extra_delay,
      [this, id, end, message = outgoing.message, incarnation = processes_.at(end.peer).incarnation] {
-       if (isCut(id, end.peer)) return;
+       if (isPartitioned(id, end.peer)) return;
        deliver(end.peer, incarnation,
                [this, end, message](ProcessCore& core) { core.onMessage(end.link, *message, now_); });
      });
--- a/tests/rollout/process_network.h
+++ b/tests/rollout/process_network.h
@@ -38,16 +38,16 @@
   bool isRunning(ProcessId id) const { return processes_.at(id).core != nullptr; }
   runtime::ProcessCore& core(ProcessId id) { return *processes_.at(id).core; }
 
-  /// Partitions the process from all others: messages in both directions are dropped silently until mend().
-  void cut(ProcessId id) { cut_.insert(id); }
-  void mend(ProcessId id) { cut_.erase(id); }
+  /// Partitions the process from all others: messages in both directions are dropped silently until heal().
+  void partition(ProcessId id) { partitioned_.insert(id); }
+  void heal(ProcessId id) { partitioned_.erase(id); }
 
   /// Closes the links between the two processes, as the kernel does after a loss of data.
   void resetLinks(ProcessId left, ProcessId right);
 
   /// Sets the delay of all messages sent from now on. A link opens only if the connection attempt, passed as
   /// an empty message, is not lost.
-  void setWay(MessageDelay delay) { message_delay_ = std::move(delay); }
+  void setMessageDelay(MessageDelay delay) { message_delay_ = std::move(delay); }
 
   /// Suspends the machine of the process for the given time. Events for the process are delayed until then
   /// and delivered before any timer: its clock advances meanwhile, but the time left until its next timer
@@ -91,12 +91,14 @@
   void close(ProcessId id, runtime::LinkId link);
   bool isSuspended(ProcessId id) const { return now_ < processes_.at(id).suspended_until; }
   TimePoint nextTimerOf(const Process& process) const;
-  bool isCut(ProcessId left, ProcessId right) const { return cut_.contains(left) || cut_.contains(right); }
+  bool isPartitioned(ProcessId left, ProcessId right) const {
+    return partitioned_.contains(left) || partitioned_.contains(right);
+  }
   void runNextEvents(TimePoint end);
 
   TimePoint now_{std::chrono::hours(1)};
   std::deque<Process> processes_;
-  std::set<ProcessId> cut_;
+  std::set<ProcessId> partitioned_;
   MessageDelay message_delay_ = [](ProcessId, ProcessId, const wire::EnvelopeT&) { return Duration::zero(); };
   std::map<std::pair<TimePoint, std::uint64_t>, std::function<void()>> events_;
   std::uint64_t next_event_ = 0;
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -71,8 +71,8 @@
     const ProcessId id = group[index];
     if (is_partition) {
       if (group_index != 0) mesh.partitioned.insert(id);
-      mesh.network.cut(id);
-      mesh.network.at(end, [&mesh, id] { mesh.network.mend(id); });
+      mesh.network.partition(id);
+      mesh.network.at(end, [&mesh, id] { mesh.network.heal(id); });
     } else {
       mesh.network.crash(id);
       mesh.network.at(end, [&mesh, id] { mesh.network.start(id); });
@@ -196,11 +196,11 @@
   REQUIRE(mesh.phase() == Phase::Promoting);
   for (const auto id : mesh.stores()) mesh.network.crash(id);
   // The sidecars of the old version connect to the stores later than the others.
-  for (const auto id : mesh.old_sidecars) mesh.network.cut(id);
+  for (const auto id : mesh.old_sidecars) mesh.network.partition(id);
   mesh.runFor(milliseconds(200));
   for (const auto id : mesh.stores()) mesh.network.start(id);
   mesh.runFor(partition_time);
-  for (const auto id : mesh.old_sidecars) mesh.network.mend(id);
+  for (const auto id : mesh.old_sidecars) mesh.network.heal(id);
   mesh.runFor(rollout_duration);
   INFO(mesh.reason());
   CHECK((mesh.phase() == Phase::Succeeded || mesh.phase() == Phase::RolledBack));
@@ -222,7 +222,7 @@
   mesh.order(rollout_duration);
   mesh.runFor(seconds(35) - before_promotion);
   mesh.partitioned.insert(id);
-  mesh.network.cut(id);
+  mesh.network.partition(id);
   const auto begun_before = mesh.runsAt(id);
   REQUIRE_FALSE(begun_before.empty());
   const auto is_over = [&mesh] {
@@ -255,9 +255,9 @@
   mesh.order(kDuration);
   mesh.runFor(fault_time);
   const auto id = (is_old ? mesh.old_sidecars : mesh.new_sidecars).at(2);
-  mesh.network.cut(id);
+  mesh.network.partition(id);
   mesh.runFor(seconds(4));
-  mesh.network.mend(id);
+  mesh.network.heal(id);
   mesh.runFor(kDuration);
   INFO(mesh.reason());
   const auto phase = mesh.phase();
--- a/tests/store/command_test.cpp
+++ b/tests/store/command_test.cpp
@@ -13,7 +13,7 @@
 std::size_t otherThan(std::size_t replica) { return (replica + 1) % 3; }
 
 /// Waits until the encoded states of all three replicas are equal byte for byte.
-void requireEqualStates(Trio& trio) {
+void requireEqualStates(ThreeReplicaCluster& trio) {
   const auto is_equal = [&] {
     for (std::size_t i = 1; i < 3; ++i) {
       if (trio.network.core(i).stateMachine().save() != trio.network.core(0).stateMachine().save())
@@ -25,7 +25,7 @@
 }
 
 TEST_CASE("a change is accepted by a quorum and reaches every replica") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   trio.begin();
   const auto leader = trio.waitForLeader();
   const auto reply = trio.run(otherThan(leader), "change { put tenant wspolnota }");
@@ -36,11 +36,13 @@
 }
 
 TEST_CASE("of two changes with the same expected version only the first is accepted") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   trio.begin();
   REQUIRE(trio.run(0, "change { put tenant wspolnota }").version == 1);
-  const auto one = trio.send(0, Trio::command("change if version 1 { put tenant fundacja }", trio.nextId()));
-  const auto two = trio.send(1, Trio::command("change if version 1 { put tenant studio }", trio.nextId()));
+  const auto one = trio.send(
+      0, ThreeReplicaCluster::command("change if version 1 { put tenant fundacja }", trio.nextId()));
+  const auto two =
+      trio.send(1, ThreeReplicaCluster::command("change if version 1 { put tenant studio }", trio.nextId()));
   const auto first = trio.answer(one);
   const auto second = trio.answer(two);
   const bool first_accepted = first.outcome == wire::Outcome::Completed;
@@ -53,10 +55,10 @@
 }
 
 TEST_CASE("a retry after a lost reply gets the reply to the first attempt") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   trio.begin();
   const auto id = trio.nextId();
-  const auto request = Trio::command("change { put tenant wspolnota }", id);
+  const auto request = ThreeReplicaCluster::command("change { put tenant wspolnota }", id);
   const auto lost_client = trio.send(0, request);
   REQUIRE(
       trio.network.runUntil([&] { return trio.network.core(0).stateMachine().catalog().version() == 1; }));
@@ -71,7 +73,8 @@
     REQUIRE(trio.network.core(leader).stateMachine().catalog().version() == 2);
   }
   SECTION("another command with the same request identifier is refused") {
-    const auto reply = trio.answer(trio.send(0, Trio::command("change { put tenant studio }", id)));
+    const auto reply =
+        trio.answer(trio.send(0, ThreeReplicaCluster::command("change { put tenant studio }", id)));
     REQUIRE(reply.outcome == wire::Outcome::NotRun);
     REQUIRE(kindOf(reply) == ErrorKind::Mismatch);
   }
@@ -79,10 +82,10 @@
 
 TEST_CASE("a leader that loses its quorum after the append replies unknown, and a retry gets the outcome") {
   const std::uint64_t seed = GENERATE(1, 2, 3, 4, 5);
-  Trio trio(seed);
+  ThreeReplicaCluster trio(seed);
   trio.begin();
   const auto old_leader = trio.waitForLeader();
-  const auto request = Trio::command("change { put tenant wspolnota }", trio.nextId());
+  const auto request = ThreeReplicaCluster::command("change { put tenant wspolnota }", trio.nextId());
   const auto client = trio.send(old_leader, request);
   // The delay before the partition varies with the seed, and with it how far the entry is replicated.
   trio.network.runFor(milliseconds(seed));
@@ -100,7 +103,7 @@
 }
 
 TEST_CASE("a leader that was suspended does not reply from its stale state") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   trio.begin();
   const auto old_leader = trio.waitForLeader();
   REQUIRE(trio.run(old_leader, "change { put tenant wspolnota }").version == 1);
@@ -111,8 +114,8 @@
       trio.network.runUntil([&] { return trio.network.leader() && *trio.network.leader() != old_leader; }));
   REQUIRE(trio.run(*trio.network.leader(), "change { delete tenant wspolnota }").version == 2);
   // These requests are in the old leader's socket buffer when it resumes.
-  const auto query = trio.send(old_leader, Trio::command("show tenants", trio.nextId()));
-  auto wrong = Trio::command("show tenants", trio.nextId());
+  const auto query = trio.send(old_leader, ThreeReplicaCluster::command("show tenants", trio.nextId()));
+  auto wrong = ThreeReplicaCluster::command("show tenants", trio.nextId());
   wrong.token = "wrong";
   const auto refusal = trio.send(old_leader, wrong);
   trio.network.runFor(seconds(1));
@@ -122,7 +125,7 @@
 }
 
 TEST_CASE("a partitioned leader refuses queries") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   trio.begin();
   const auto old_leader = trio.waitForLeader();
   trio.network.cut(old_leader);
@@ -133,9 +136,9 @@
 }
 
 TEST_CASE("after a restart of all replicas the state is recovered from disk") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   trio.begin();
-  const auto request = Trio::command("change { put tenant wspolnota }", trio.nextId());
+  const auto request = ThreeReplicaCluster::command("change { put tenant wspolnota }", trio.nextId());
   REQUIRE(trio.answer(trio.send(0, request)).version == 1);
   for (std::size_t i = 0; i < 3; ++i) trio.network.crash(i);
   trio.begin();
@@ -144,14 +147,14 @@
 }
 
 TEST_CASE("a replica that missed compacted log entries catches up by a snapshot") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   for (std::size_t i = 0; i < 3; ++i) {
     trio.network.options(i).consensus.snapshot_after_log_bytes = 4096;
     trio.network.options(i).consensus.entries_kept_after_snapshot = 0;
   }
   trio.begin();
   const auto lagging = otherThan(trio.waitForLeader());
-  const auto early = Trio::command("change { put tenant early }", trio.nextId());
+  const auto early = ThreeReplicaCluster::command("change { put tenant early }", trio.nextId());
   REQUIRE(trio.answer(trio.send(0, early)).version == 1);
   trio.network.crash(lagging);
   const auto leader = trio.waitForLeader();
@@ -174,14 +177,15 @@
 }
 
 TEST_CASE("a graceful shutdown of the leader completes accepted commands and transfers leadership") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   trio.begin();
   const auto old_leader = trio.waitForLeader();
   std::vector<MemoryNetwork::ClientId> clients;
   clients.reserve(20);
   for (int i = 0; i < 20; ++i) {
     clients.push_back(trio.send(
-        old_leader, Trio::command("change { put tenant t" + std::to_string(i) + " }", trio.nextId())));
+        old_leader,
+        ThreeReplicaCluster::command("change { put tenant t" + std::to_string(i) + " }", trio.nextId())));
   }
   // Leaves time for the links to open and the commands to arrive.
   trio.network.runFor(milliseconds(2));
@@ -195,7 +199,7 @@
 TEST_CASE("a leader that shuts down does not transfer leadership to a crashed replica") {
   // Time since the crash of the other replica: longer and shorter than the heartbeat interval.
   const auto time_since_crash = GENERATE(milliseconds(200), milliseconds(1));
-  Trio trio;
+  ThreeReplicaCluster trio;
   trio.begin();
   const auto old_leader = trio.waitForLeader();
   // Leadership would be transferred to the first of equally suitable voters, so that one crashes.
@@ -211,7 +215,7 @@
 
 TEST_CASE(
     "leadership is transferred on command; a replica that never responded to the new leader is silent") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   trio.begin();
   const auto old_leader = trio.waitForLeader();
   const auto target = otherThan(old_leader);
@@ -228,7 +232,7 @@
 }
 
 TEST_CASE("show quarantine is empty without quarantined content, and releasing unknown content fails") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   trio.begin();
   const auto leader = trio.waitForLeader();
   const auto shown = trio.run(leader, "show quarantine");
@@ -239,7 +243,7 @@
 }
 
 TEST_CASE("a tenant that floods the command queue cannot block the commands of another tenant") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   for (std::size_t i = 0; i < 3; ++i) {
     trio.network.options(i).max_commands_waiting = 40;
     trio.network.options(i).max_batches_in_flight = 1;
@@ -274,7 +278,7 @@
 }
 
 TEST_CASE("credentials restrict operators to their tenant, and no reply contains a secret") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   trio.begin();
   const std::string secret = "Sesame-Street-42";
   const auto hex = [](const std::vector<std::uint8_t>& bytes) {
@@ -291,7 +295,7 @@
               .outcome == wire::Outcome::Completed);
   std::vector<MemoryNetwork::ClientId> clients;
   const auto as_anna = [&](const std::string& text, const std::string& token = "anna-token") {
-    auto request = Trio::command(text, trio.nextId());
+    auto request = ThreeReplicaCluster::command(text, trio.nextId());
     request.tenant = "wspolnota";
     request.operator_name = "anna";
     request.token = token;
--- a/tests/store/relay_test.cpp
+++ b/tests/store/relay_test.cpp
@@ -42,7 +42,7 @@
 }
 
 TEST_CASE("a relay receives a snapshot, then deltas, heartbeats and freshness replies") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   for (std::size_t i = 0; i < 3; ++i) trio.network.options(i).beat_interval = milliseconds(50);
   trio.begin();
   const auto leader = trio.waitForLeader();
@@ -85,7 +85,7 @@
 }
 
 TEST_CASE("only one relay per zone is a reader; a reader that no longer responds is replaced") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   trio.begin();
   const auto leader = trio.waitForLeader();
   const auto first = trio.follow(leader, "relay-1", "krk-a");
@@ -107,7 +107,7 @@
 }
 
 TEST_CASE("relays that connect at once are admitted at a limited rate, up to the reader limit") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   for (std::size_t i = 0; i < 3; ++i) {
     trio.network.options(i).reader_join_burst = 4;
     trio.network.options(i).reader_join_rate = 1;
@@ -130,7 +130,7 @@
 }
 
 TEST_CASE("the wait command completes after as many proxies as there are nodes report the version") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   trio.begin();
   const auto leader = trio.waitForLeader();
   REQUIRE(trio.run(leader,
@@ -138,8 +138,8 @@
                    "put node n2 zone krk-a tenants (wspolnota) }")
               .version == 1);
   const auto relay = trio.follow(leader, "relay-1", "krk-a");
-  const auto wait =
-      trio.send((leader + 1) % 3, Trio::command("wait version 1 in force timeout 30s", trio.nextId()));
+  const auto wait = trio.send(
+      (leader + 1) % 3, ThreeReplicaCluster::command("wait version 1 in force timeout 30s", trio.nextId()));
   const auto report = [&](std::uint32_t proxies, std::uint64_t version) {
     wire::InForceReportT message;
     message.proxies = proxies;
@@ -159,7 +159,7 @@
 }
 
 TEST_CASE("a claim is granted to one attempt and ends as released, completed or unknown") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   for (std::size_t i = 0; i < 3; ++i) trio.network.options(i).claim_time_limit = seconds(20);
   trio.begin();
   auto leader = trio.waitForLeader();
@@ -215,7 +215,7 @@
 }
 
 TEST_CASE("a leader that stops under continuous claims answers no claim as unknown") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   trio.begin();
   const auto leader = trio.waitForLeader();
   REQUIRE(trio.run(leader, "change { put tenant wspolnota }").version == 1);
@@ -244,7 +244,7 @@
 }
 
 TEST_CASE("a leader that stops redirects its readers only after the next leader is known") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   trio.begin();
   const auto leader = trio.waitForLeader();
   const auto relay = trio.follow(leader, "relay-1", "krk-a");
--- a/tests/store/replica_test.cpp
+++ b/tests/store/replica_test.cpp
@@ -24,7 +24,7 @@
 };
 
 TEST_CASE("a replica that lost its disk never votes under its old id, even if it is started with bootstrap") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   trio.begin();
   const auto leader = trio.waitForLeader();
   const std::size_t lost = (leader + 1) % 3;
@@ -48,7 +48,7 @@
 }
 
 TEST_CASE("a new cluster forms even if an initial voter crashes during formation") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   trio.network.start(0);
   trio.network.start(1);
   trio.network.runFor(seconds(5));
@@ -63,7 +63,7 @@
 
 /// A cluster of three in which one replica lost its disk, and a new replica that is not started yet.
 struct Repair {
-  explicit Repair(Trio& trio)
+  explicit Repair(ThreeReplicaCluster& trio)
       : leader(trio.waitForLeader()), lost((leader + 1) % 3), other((leader + 2) % 3) {
     trio.network.crash(lost);
     trio.network.loseDisk(lost);
@@ -87,7 +87,7 @@
   // Bit 0: lose the leader after the repair if set, the other voter if clear. Bit 1: run the repair under
   // load.
   const int variant = GENERATE(0, 1, 2, 3);
-  Trio trio(variant + 1);
+  ThreeReplicaCluster trio(variant + 1);
   for (std::size_t i = 0; i < 3; ++i) trio.network.options(i).consensus.snapshot_after_log_bytes = 4096;
   trio.begin();
   const auto before = trio.waitForLeader();
@@ -100,14 +100,14 @@
   REQUIRE(trio.run(leader, repair.replace_command).outcome == wire::Outcome::NotRun);
   REQUIRE(trio.run(other, kAddReplica).outcome == wire::Outcome::Completed);
   // The new replica is not started, so the repair must not be answered yet.
-  const auto client = trio.send(other, Trio::command(repair.replace_command, trio.nextId()));
+  const auto client = trio.send(other, ThreeReplicaCluster::command(repair.replace_command, trio.nextId()));
   trio.network.runFor(seconds(3));
   REQUIRE(trio.network.received(client).empty());
   trio.network.start(repair.new_replica);
   std::vector<MemoryNetwork::ClientId> load;
   for (int i = 0; (variant & 2) != 0 && i < 50; ++i) {
-    load.push_back(
-        trio.send(leader, Trio::command("change { put tenant l" + std::to_string(i) + " }", trio.nextId())));
+    load.push_back(trio.send(leader, ThreeReplicaCluster::command(
+                                         "change { put tenant l" + std::to_string(i) + " }", trio.nextId())));
   }
   const auto done = trio.answer(client);
   REQUIRE(done.outcome == wire::Outcome::Completed);
@@ -129,14 +129,15 @@
 
 TEST_CASE("a repair is not reported complete if a partition of the leader interrupts it") {
   const int cut_after = GENERATE(range(0, 24));
-  Trio trio;
+  ThreeReplicaCluster trio;
   trio.begin();
   REQUIRE(trio.run(0, "change { put tenant wspolnota }").version == 1);
   const Repair repair(trio);
   trio.network.start(repair.new_replica);
   REQUIRE(trio.run(repair.leader, kAddReplica).outcome == wire::Outcome::Completed);
   trio.network.runFor(seconds(2));
-  const auto client = trio.send(repair.leader, Trio::command(repair.replace_command, trio.nextId()));
+  const auto client =
+      trio.send(repair.leader, ThreeReplicaCluster::command(repair.replace_command, trio.nextId()));
   trio.network.runFor(std::chrono::milliseconds(cut_after));
   trio.network.cut(repair.leader);
   const bool is_complete = trio.answer(client).outcome == wire::Outcome::Completed;
@@ -155,7 +156,7 @@
 }
 
 TEST_CASE("a state that exceeded the maximum snapshot size is stored after enough objects are deleted") {
-  Trio trio;
+  ThreeReplicaCluster trio;
   for (std::size_t i = 0; i < 3; ++i) {
     trio.network.options(i).consensus.snapshot_after_log_bytes = 4096;
     trio.network.options(i).consensus.max_snapshot_bytes = 16384;
--- a/tests/store/store_fixture.h
+++ b/tests/store/store_fixture.h
@@ -14,11 +14,11 @@
 
 /// Three replicas on an in-memory network with a bootstrap credential. Also provides the client side of the
 /// protocol for operators and relays.
-class Trio {
+class ThreeReplicaCluster {
  public:
   static constexpr const char* kToken = "bootstrap-token";
 
-  explicit Trio(std::uint64_t seed = 1) : network(3, seed) {
+  explicit ThreeReplicaCluster(std::uint64_t seed = 1) : network(3, seed) {
     const std::vector<std::uint8_t> salt(16, 7);
     for (std::size_t i = 0; i < 3; ++i) {
       network.options(i).bootstrap_salt = salt;
