--- a/tests/sidecar/outbound_calls_test.cpp
+++ b/tests/sidecar/outbound_calls_test.cpp
@@ -171,19 +171,20 @@
     "the retry delay grows with the share of refused requests, up to a part of the caller's remaining time") {
   SidecarFixture sidecar;
   sidecar.configure();
-  const auto retryDelayFor = [&sidecar](Duration deadline) {
+  const auto retry_delay_for = [&sidecar](Duration deadline) {
     return sidecar.callers.answers.at(sidecar.call("/read/1", deadline)).retry_after;
   };
-  const Duration first_delay = retryDelayFor(seconds(3));
+  const Duration first_delay = retry_delay_for(seconds(3));
   CHECK(first_delay > Duration::zero());
   CHECK(first_delay <= milliseconds(160));
   Duration max_delay = Duration::zero();
-  for (int i = 0; i < 100; ++i) max_delay = std::max(max_delay, retryDelayFor(seconds(3)));
+  for (int i = 0; i < 100; ++i) max_delay = std::max(max_delay, retry_delay_for(seconds(3)));
   CHECK(max_delay > milliseconds(700));
   // The delay is limited by a third of the caller's deadline plus the shortest delay of 80 ms.
   CHECK(max_delay <= milliseconds(1'080));
   Duration max_short_delay = Duration::zero();
-  for (int i = 0; i < 100; ++i) max_short_delay = std::max(max_short_delay, retryDelayFor(milliseconds(300)));
+  for (int i = 0; i < 100; ++i)
+    max_short_delay = std::max(max_short_delay, retry_delay_for(milliseconds(300)));
   CHECK(max_short_delay <= milliseconds(180));
 }
 
